--- a/src/entry/attempt_outcome.cpp
+++ b/src/entry/attempt_outcome.cpp
@@ -20,21 +20,21 @@
 
 } // namespace
 
-policy::ending ending_of(const error& failure)
+policy::attempt_result ending_of(const error& failure)
 {
     switch (failure.code) {
     case error_code::draining:
-        return policy::ending::stopping;
+        return policy::attempt_result::draining;
     case error_code::unavailable:
     case error_code::incomplete:
     case error_code::internal:
     case error_code::deadline_exceeded:
     case error_code::overloaded:
-        return policy::ending::failed;
+        return policy::attempt_result::failed;
     case error_code::cancelled:
-        return policy::ending::unknown;
+        return policy::attempt_result::unknown;
     default:
-        return policy::ending::answered; // the target answered: the request was at fault
+        return policy::attempt_result::answered; // the target answered: the request was at fault
     }
 }
 
--- a/src/entry/attempt_outcome.hpp
+++ b/src/entry/attempt_outcome.hpp
@@ -7,7 +7,7 @@
 namespace vanillagauge::entry {
 
 /// How a failed attempt counts for its target.
-policy::ending ending_of(const error& failure);
+policy::attempt_result ending_of(const error& failure);
 
 /// Whether the target may have been lost to the request: the connection broke after the request was sent.
 bool looks_like_crash(const error& failure);
--- a/src/entry/plain_call.cpp
+++ b/src/entry/plain_call.cpp
@@ -171,7 +171,7 @@
         others_running = !running_.empty();
     }
     auto outcome = checked(answer, request_, ended.target);
-    const auto kind = ok(outcome) ? policy::ending::answered : ending_of(failure(outcome));
+    const auto kind = ok(outcome) ? policy::attempt_result::answered : ending_of(failure(outcome));
     group_->release(ended.target, {kind, steady::now() - ended.began});
     if (ok(outcome)) {
         context_.directory.quarantine().on_answer(fingerprint_);
@@ -234,7 +234,7 @@
         latest = attempts_;
     }
     for (auto& [number, other] : others) {
-        const auto kind = number < latest ? policy::ending::failed : policy::ending::unknown;
+        const auto kind = number < latest ? policy::attempt_result::failed : policy::attempt_result::unknown;
         group_->release(other.target, {kind, steady::now() - other.began});
         if (other.cancel) {
             other.cancel();
--- a/src/entry/streamed_generate.cpp
+++ b/src/entry/streamed_generate.cpp
@@ -139,8 +139,8 @@
     const bool timed_out_begun =
         begun && !ok(outcome) && failure(outcome).code == error_code::deadline_exceeded;
     const bool good = whole_ || timed_out_begun;
-    const auto kind = good ? policy::ending::answered
-                           : (ok(outcome) ? policy::ending::failed : ending_of(failure(outcome)));
+    const auto kind = good ? policy::attempt_result::answered
+                           : (ok(outcome) ? policy::attempt_result::failed : ending_of(failure(outcome)));
     group_->release(target, {kind, first_chunk_});
     if (whole_) {
         context_.directory.quarantine().on_answer(fingerprint_);
--- a/src/gateway/forwarder.cpp
+++ b/src/gateway/forwarder.cpp
@@ -62,7 +62,7 @@
             options.adaptive = false;
         }
         const auto patience =
-            current.own() ? policy::queue_patience::until_due : policy::queue_patience::caller;
+            current.own() ? policy::wait_policy::until_deadline : policy::wait_policy::shed_early;
         gate = std::make_unique<service_gate>(loop_, random_(), options, patience);
         gate->update(replicas, steady::now());
     }
@@ -240,15 +240,15 @@
 void forwarder::report(service_gate& gate, const target_ref& at, const attempt_outcome& outcome,
                        duration took)
 {
-    policy::ending_report ended;
+    policy::attempt_report ended;
     ended.latency = took;
     const auto* failed = std::get_if<error>(&outcome.result);
     const bool cancelled = failed != nullptr && failed->code == error_code::cancelled;
     if (cancelled || outcome.not_run) {
-        ended.kind = policy::ending::unknown;
+        ended.kind = policy::attempt_result::unknown;
     }
     else {
-        ended.kind = outcome.succeeded() ? policy::ending::answered : policy::ending::failed;
+        ended.kind = outcome.succeeded() ? policy::attempt_result::answered : policy::attempt_result::failed;
     }
     if (outcome.load) {
         gate.on_load(at->info.lifetime(), *outcome.load);
--- a/src/gateway/service_gate.cpp
+++ b/src/gateway/service_gate.cpp
@@ -13,7 +13,7 @@
 } // namespace
 
 service_gate::service_gate(net::loop& loop, std::uint64_t seed, policy::pool_options options,
-                           policy::queue_patience patience)
+                           policy::wait_policy patience)
     : scheduler_(seed, options, patience), changed_(loop)
 {
 }
@@ -42,7 +42,7 @@
     }
     auto& place = waiting_[id];
     while (!place.outcome) {
-        const auto next = scheduler_.next_refusal();
+        const auto next = scheduler_.next_expiry();
         co_await changed_.wait_until(std::min(next.value_or(deadline), deadline));
         advance();
     }
@@ -60,7 +60,7 @@
     return std::move(taken->target);
 }
 
-void service_gate::finish(const std::string& lifetime, const policy::ending_report& report)
+void service_gate::finish(const std::string& lifetime, const policy::attempt_report& report)
 {
     scheduler_.finish(lifetime, report, steady::now());
     advance();
@@ -85,7 +85,7 @@
 {
     auto found = scheduler_.advance(steady::now());
     bool woke = false;
-    for (auto& refused : found.turned_away) {
+    for (auto& refused : found.refused) {
         const auto place = waiting_.find(refused.work_id);
         if (place != waiting_.end() && !place->second.outcome) {
             place->second.outcome = std::move(refused.reason);
--- a/src/gateway/service_gate.hpp
+++ b/src/gateway/service_gate.hpp
@@ -17,7 +17,7 @@
 class service_gate {
 public:
     service_gate(net::loop& loop, std::uint64_t seed, policy::pool_options options,
-                 policy::queue_patience patience);
+                 policy::wait_policy patience);
 
     /// Takes the service's present replicas.
     void update(const std::vector<target_ref>& targets, time_point now);
@@ -26,7 +26,7 @@
     /// Another replica for a request that was sent before; none where none has room or the budget is spent.
     std::optional<std::string> retry(const policy::work& item);
     /// Gives the place at a replica back.
-    void finish(const std::string& lifetime, const policy::ending_report& report);
+    void finish(const std::string& lifetime, const policy::attempt_report& report);
     void on_load(const std::string& lifetime, const policy::load_report& load);
     /// The client of a waiting request has gone.
     void withdraw(std::uint64_t work_id);
--- a/src/node/target_group.cpp
+++ b/src/node/target_group.cpp
@@ -91,7 +91,7 @@
     return taken ? std::optional(value(slot_of(*taken))) : std::nullopt;
 }
 
-void target_group::release(const std::string& target_id, const policy::ending_report& report)
+void target_group::release(const std::string& target_id, const policy::attempt_report& report)
 {
     std::vector<woken> ones;
     {
@@ -157,7 +157,7 @@
         const auto waiting = ready_.extract(place.work_id);
         ones.push_back({std::move(waiting.mapped()), slot_of(place)});
     }
-    for (auto& away : found.turned_away) {
+    for (auto& away : found.refused) {
         const auto waiting = ready_.extract(away.work_id);
         ones.push_back({std::move(waiting.mapped()), std::move(away.reason)});
     }
@@ -168,7 +168,7 @@
 // One timer for the group, armed only while requests wait: an idle group costs nothing.
 void target_group::arm_timer()
 {
-    const auto next = scheduler_.next_refusal();
+    const auto next = scheduler_.next_expiry();
     if (!next || timer_armed_ || loop_ == nullptr) {
         return;
     }
--- a/src/node/target_group.hpp
+++ b/src/node/target_group.hpp
@@ -38,7 +38,7 @@
     std::optional<slot> retry(const policy::work& item);
     /// A place for work that has a line of its own. None where no target that is not in `tried` has room.
     std::optional<slot> acquire(const std::string& near_domain, const std::set<std::string>& tried);
-    void release(const std::string& target_id, const policy::ending_report& report = {});
+    void release(const std::string& target_id, const policy::attempt_report& report = {});
     void on_report(const std::string& target_id, const policy::load_report& report);
 
     // Queries.
--- a/src/policy/fair_queue.cpp
+++ b/src/policy/fair_queue.cpp
@@ -54,7 +54,7 @@
         rate_ = 0;
     }
     const double wait = rate_ > 0 ? static_cast<double>(ahead_of(item)) / rate_ : 0;
-    if (patience_ == queue_patience::caller && std::chrono::duration<double>(wait) > patience) {
+    if (wait_policy_ == wait_policy::shed_early && std::chrono::duration<double>(wait) > patience) {
         return refused("the line is longer than the request may wait");
     }
     if (size() >= most_waiting && !give_way_to(item)) {
@@ -66,7 +66,7 @@
 
 duration fair_queue::longest_wait_of(const work& item, time_point now) const
 {
-    if (patience_ == queue_patience::until_due) {
+    if (wait_policy_ == wait_policy::until_deadline) {
         return item.deadline - now;
     }
     const auto burst = std::min<duration>((item.deadline - now) / deadline_share, longest_wait);
@@ -141,7 +141,7 @@
     rate_at_ = now;
 }
 
-std::optional<time_point> fair_queue::next_refusal() const
+std::optional<time_point> fair_queue::next_expiry() const
 {
     if (give_ups_.empty()) {
         return std::nullopt;
--- a/src/policy/fair_queue.hpp
+++ b/src/policy/fair_queue.hpp
@@ -20,16 +20,16 @@
 };
 
 /// Who waits in the line.
-enum class queue_patience {
-    caller,    ///< is turned away early, to be served elsewhere
-    until_due, ///< has nowhere else to go, and may wait until its deadline
+enum class wait_policy {
+    shed_early,     ///< is turned away early, to be served elsewhere
+    until_deadline, ///< has nowhere else to go, and may wait until its deadline
 };
 
 class fair_queue {
 public:
     /// `seed` decides which callers share a bucket; let it differ between processes.
-    explicit fair_queue(std::uint64_t seed, queue_patience patience = queue_patience::caller)
-        : seed_(seed), patience_(patience)
+    explicit fair_queue(std::uint64_t seed, wait_policy policy = wait_policy::shed_early)
+        : seed_(seed), wait_policy_(policy)
     {
     }
 
@@ -50,7 +50,7 @@
     std::size_t size() const { return entries_.size(); }
     bool empty() const { return entries_.empty(); }
     /// When the next request will have waited as long as it may; empty where none waits.
-    std::optional<time_point> next_refusal() const;
+    std::optional<time_point> next_expiry() const;
     /// How long until the present queue is served.
     milliseconds drain_time() const;
 
@@ -76,7 +76,7 @@
     };
 
     std::uint64_t seed_;
-    queue_patience patience_;
+    wait_policy wait_policy_;
     std::array<class_queue, priority_count> classes_;
     std::unordered_map<std::uint64_t, waiting> entries_;
     std::set<std::pair<time_point, std::uint64_t>> give_ups_;
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -49,16 +49,16 @@
     return placed{item.id, std::move(*target)};
 }
 
-void scheduler::finish(const std::string& target, const ending_report& report, time_point now)
+void scheduler::finish(const std::string& target, const attempt_report& report, time_point now)
 {
     pool_.release(target, report, now);
     queue_.on_finished(now);
 }
 
-outcomes scheduler::advance(time_point now)
+queue_changes scheduler::advance(time_point now)
 {
-    outcomes found;
-    found.turned_away = queue_.collect_refused(now);
+    queue_changes found;
+    found.refused = queue_.collect_refused(now);
     while (const auto* next = queue_.front()) {
         auto taken = acquire(*next, now);
         if (!taken) {
--- a/src/policy/scheduler.hpp
+++ b/src/policy/scheduler.hpp
@@ -20,15 +20,15 @@
 using decision = std::variant<placed, queued, error>;
 
 /// What became of requests that waited.
-struct outcomes {
+struct queue_changes {
     std::vector<placed> started;
-    std::vector<refusal> turned_away;
+    std::vector<refusal> refused;
 };
 
 class scheduler {
 public:
-    scheduler(std::uint64_t seed, pool_options options, queue_patience patience = queue_patience::caller)
-        : pool_(seed, options), queue_(seed, patience), plain_(!options.limited)
+    scheduler(std::uint64_t seed, pool_options options, wait_policy policy = wait_policy::shed_early)
+        : pool_(seed, options), queue_(seed, policy), plain_(!options.limited)
     {
     }
 
@@ -42,13 +42,13 @@
     std::optional<placed> retry(const work& item, time_point now);
     /// A place without the line, for work that has a line of its own.
     std::optional<placed> acquire(const work& item, time_point now);
-    void finish(const std::string& target, const ending_report& report, time_point now);
+    void finish(const std::string& target, const attempt_report& report, time_point now);
     /// Starts what can start and turns away what has waited as long as it may. Call after `finish`, after
-    /// `update` and at `next_refusal`.
-    outcomes advance(time_point now);
+    /// `update` and at `next_expiry`.
+    queue_changes advance(time_point now);
 
     // Queries.
-    std::optional<time_point> next_refusal() const { return queue_.next_refusal(); }
+    std::optional<time_point> next_expiry() const { return queue_.next_expiry(); }
     std::size_t waiting() const { return queue_.size(); }
     const target_pool& pool() const { return pool_; }
 
--- a/src/policy/target_pool.cpp
+++ b/src/policy/target_pool.cpp
@@ -84,7 +84,7 @@
     return taken.target.id;
 }
 
-void target_pool::release(const std::string& id, const ending_report& report, time_point now)
+void target_pool::release(const std::string& id, const attempt_report& report, time_point now)
 {
     const auto found = places_.find(id);
     if (found == places_.end()) {
@@ -96,11 +96,11 @@
         --entry.in_flight;
         --total_in_flight_;
     }
-    if (!options_.limited || report.kind == ending::unknown) {
+    if (!options_.limited || report.kind == attempt_result::unknown) {
         return;
     }
     bool out = false;
-    if (report.kind == ending::answered) {
+    if (report.kind == attempt_result::answered) {
         const bool slow = is_slow(report.latency, median_.value());
         median_.add(report.latency);
         high_.add(report.latency);
@@ -108,7 +108,7 @@
         entry.limit.on_answer(report.latency, in_flight, entry.hint.may_grow(now), now);
         out = ejection_.on_answer(entry.health, !slow, usable_.size(), now);
     }
-    else if (report.kind == ending::failed) {
+    else if (report.kind == attempt_result::failed) {
         entry.limit.on_failure(now);
         out = ejection_.on_answer(entry.health, false, usable_.size(), now);
     }
--- a/src/policy/target_pool.hpp
+++ b/src/policy/target_pool.hpp
@@ -34,15 +34,15 @@
 };
 
 /// How a request ended at a target.
-enum class ending {
+enum class attempt_result {
     answered,
     failed,   ///< broke off, timed out or was answered by an internal error
-    stopping, ///< the target said that it takes no new work
+    draining, ///< the target said that it takes no new work
     unknown,  ///< says nothing of the target, such as a cancelled request
 };
 
-struct ending_report {
-    ending kind = ending::unknown;
+struct attempt_report {
+    attempt_result kind = attempt_result::unknown;
     duration latency{0};
 };
 
@@ -55,7 +55,7 @@
     /// Takes a place at a target and returns its id; none where no target with room was found.
     std::optional<std::string> acquire(const work& item, time_point now);
     /// Gives the place back. Ids of targets that have left are ignored.
-    void release(const std::string& id, const ending_report& report, time_point now);
+    void release(const std::string& id, const attempt_report& report, time_point now);
     void on_report(const std::string& id, const load_report& report, time_point now);
 
     // Queries.
--- a/tests/policy/placement_tests.cpp
+++ b/tests/policy/placement_tests.cpp
@@ -44,7 +44,8 @@
     pool.update({{"slow", "near"}, {"b", "near"}, {"c", "near"}}, start);
     for (int place = 0; place < 200; ++place) {
         for (const char* id : {"slow", "b", "c"}) {
-            pool.release(id, {ending::answered, id[0] == 's' ? milliseconds{40} : milliseconds{10}}, start);
+            pool.release(id, {attempt_result::answered, id[0] == 's' ? milliseconds{40} : milliseconds{10}},
+                         start);
         }
     }
     std::map<std::string, int> taken;
@@ -72,7 +73,7 @@
         ASSERT_TRUE(id);
         const bool bad = id->starts_with("bad");
         failed += bad ? 1 : 0;
-        pool.release(*id, {bad ? ending::failed : ending::answered, milliseconds{5}}, now);
+        pool.release(*id, {bad ? attempt_result::failed : attempt_result::answered, milliseconds{5}}, now);
     }
     EXPECT_LT(failed, 30) << "a trial a second, of ten seconds";
     EXPECT_GE(failed, 4) << "they are tried again, or nobody would see them recover";
@@ -86,7 +87,7 @@
     for (int place = 0; place < 50; ++place) {
         const auto id = pool.acquire(from_near(), start);
         ASSERT_TRUE(id);
-        pool.release(*id, {ending::failed, milliseconds{5}}, start);
+        pool.release(*id, {attempt_result::failed, milliseconds{5}}, start);
     }
     EXPECT_TRUE(pool.acquire(from_near(), start));
 }
@@ -101,7 +102,7 @@
         item.tried = {"good", "good2"};
         const auto id = pool.acquire(item, start);
         ASSERT_EQ(id, "bad");
-        pool.release(*id, {ending::failed, milliseconds{5}}, start);
+        pool.release(*id, {attempt_result::failed, milliseconds{5}}, start);
     }
     const auto taken = fill(pool, from_near());
     EXPECT_EQ(taken.at("good"), pool.limit("good", start));
--- a/tests/policy/scheduler_tests.cpp
+++ b/tests/policy/scheduler_tests.cpp
@@ -54,7 +54,7 @@
 TEST(burst, of_work_with_nowhere_else_to_go_waits_until_it_is_due)
 {
     const pool_options options{.limited = true, .initial_limit = 5, .adaptive = false};
-    scheduler line(7, options, queue_patience::until_due);
+    scheduler line(7, options, wait_policy::until_deadline);
     line.update({{"a", "near"}, {"b", "near"}}, time_point{});
     constexpr milliseconds call{200};
     constexpr int calls = 60;
@@ -73,10 +73,10 @@
     std::size_t started = running.size();
     for (time_point now{call}; now <= time_point{6 * call}; now += call) {
         for (const auto& target : std::exchange(running, {})) {
-            line.finish(target, {ending::answered, call}, now);
+            line.finish(target, {attempt_result::answered, call}, now);
         }
         const auto found = line.advance(now);
-        EXPECT_TRUE(found.turned_away.empty());
+        EXPECT_TRUE(found.refused.empty());
         for (const auto& start : found.started) {
             running.push_back(start.target);
         }
--- a/tests/policy/simulation.cpp
+++ b/tests/policy/simulation.cpp
@@ -129,7 +129,7 @@
 
 void simulation::arm_timer()
 {
-    const auto next = scheduler_.next_refusal();
+    const auto next = scheduler_.next_expiry();
     if (!next || (timer_ > now_ && timer_ <= *next)) {
         return;
     }
@@ -167,7 +167,8 @@
         ++(latency <= found->second.request.deadline ? outcome.in_time : outcome.late);
     }
     running_.erase(found);
-    scheduler_.finish(target, {failed ? ending::failed : ending::answered, now_ - began}, now_);
+    scheduler_.finish(target, {failed ? attempt_result::failed : attempt_result::answered, now_ - began},
+                      now_);
     advance();
 }
 
@@ -189,7 +190,7 @@
     for (const auto& start : found.started) {
         begin(start.work_id, start.target);
     }
-    for (const auto& away : found.turned_away) {
+    for (const auto& away : found.refused) {
         refuse(away.work_id, away.reason);
     }
     arm_timer();
--- a/tools/load/benchmark/policy_benchmark.cpp
+++ b/tools/load/benchmark/policy_benchmark.cpp
@@ -44,7 +44,7 @@
         const std::uint64_t prefix = with_prefix ? hash64("prompt", ++id % 200) : 0;
         const auto decided = decisions.submit(request(++id, prefix), now);
         if (const auto* taken = std::get_if<policy::placed>(&decided)) {
-            decisions.finish(taken->target, {policy::ending::answered, milliseconds{10}}, now);
+            decisions.finish(taken->target, {policy::attempt_result::answered, milliseconds{10}}, now);
         }
         benchmark::DoNotOptimize(decisions.advance(now));
     }
@@ -68,7 +68,7 @@
     for (auto _ : state) {
         const auto now = steady::now();
         decisions.submit(request(++id, 0), now);
-        decisions.finish(taken[next], {policy::ending::answered, milliseconds{10}}, now);
+        decisions.finish(taken[next], {policy::attempt_result::answered, milliseconds{10}}, now);
         const auto found = decisions.advance(now);
         if (!found.started.empty()) {
             taken[next] = found.started.front().target;
