--- a/src/entry/quarantine_exchange.cpp
+++ b/src/entry/quarantine_exchange.cpp
@@ -37,7 +37,7 @@
         auto* told = message.add_records();
         told->set_fingerprint(record.fingerprint);
         told->mutable_targets()->Add(record.targets.begin(), record.targets.end());
-        told->set_left_ms(record.left.count());
+        told->set_left_ms(record.remaining.count());
     }
     return message;
 }
--- a/src/gateway/feed_hub.cpp
+++ b/src/gateway/feed_hub.cpp
@@ -300,7 +300,7 @@
 {
     const auto asked = steady::now();
     const auto known = exchanged_[address];
-    internal::news_question question{peer_wait, {}, crashes_.news(known.told, asked), known.heard};
+    internal::news_question question{peer_wait, {}, crashes_.update_since(known.told, asked), known.heard};
     for (const auto& entry : feeds_) {
         if (entry.needed_here) {
             question.since[entry.content->kind()] = entry.content->known() ? entry.content->as_of() : 0;
@@ -359,7 +359,7 @@
 
 bool feed_hub::has_news(const internal::news_question& question) const
 {
-    return crashes_.has_news(question.crashes_since) ||
+    return crashes_.changed_since(question.crashes_since) ||
            std::any_of(question.since.begin(), question.since.end(), [this](const auto& asked) {
                const auto* content = find(asked.first);
                return content != nullptr && content->has_news(asked.second);
@@ -387,7 +387,7 @@
     }
     internal::news_answer answer;
     answer.serves = serves();
-    answer.crashes = crashes_.news(question.crashes_since, steady::now());
+    answer.crashes = crashes_.update_since(question.crashes_since, steady::now());
     if (last_failure_ != time_point{}) {
         answer.failed_ago = std::chrono::duration_cast<milliseconds>(steady::now() - last_failure_);
     }
--- a/src/gateway/forwarder_attempts.cpp
+++ b/src/gateway/forwarder_attempts.cpp
@@ -65,7 +65,7 @@
 {
     const auto now = steady::now();
     if (reused) {
-        crashes_.on_doubtful_crash(current.fingerprint, now);
+        crashes_.on_possible_crash(current.fingerprint, now);
     }
     else {
         crashes_.on_crash(current.fingerprint, current.replica, current.sent, now);
@@ -86,7 +86,7 @@
     attempt_outcome outcome;
     // A pooled connection may be closed by the replica while the request is under way, which leaves open
     // whether it ran; only what may run again takes that chance, and nothing that may have crashed a replica.
-    const bool may_reuse = current.repeatable() && !crashes_.suspects(current.fingerprint, steady::now());
+    const bool may_reuse = current.repeatable() && !crashes_.is_suspect(current.fingerprint, steady::now());
     auto connecting = may_reuse ? at->pool.take(until) : at->pool.take_new(until);
     auto taken = co_await std::move(connecting);
     if (const auto* failed = std::get_if<net::http_failure>(&taken)) {
--- a/src/gateway/internal/news_messages.cpp
+++ b/src/gateway/internal/news_messages.cpp
@@ -19,14 +19,14 @@
     return milliseconds{std::clamp<std::int64_t>(text.get<std::int64_t>(), 0, most_ms)};
 }
 
-json to_json(const policy::crash_news& news)
+json to_json(const policy::crash_update& news)
 {
     json text;
     text["as_of"] = news.as_of;
     for (const auto& suspect : news.suspects) {
         text["suspects"].push_back({{"request", suspect.fingerprint},
                                     {"targets", suspect.targets},
-                                    {"left_ms", suspect.left.count()}});
+                                    {"left_ms", suspect.remaining.count()}});
     }
     if (!news.cleared.empty()) {
         text["cleared"] = news.cleared;
@@ -34,9 +34,9 @@
     return text;
 }
 
-policy::crash_news crashes_from_json(const json& text)
+policy::crash_update crashes_from_json(const json& text)
 {
-    policy::crash_news news;
+    policy::crash_update news;
     news.as_of = text.at("as_of").get<std::uint64_t>();
     for (const auto& suspect : member_or_null(text, "suspects")) {
         news.suspects.push_back({suspect.at("request").get<std::uint64_t>(),
--- a/src/gateway/internal/news_messages.hpp
+++ b/src/gateway/internal/news_messages.hpp
@@ -15,7 +15,7 @@
 struct news_question {
     milliseconds wait{0};                       ///< for news, where there is none; at most a minute
     std::map<std::string, std::uint64_t> since; ///< by kind, the revision that the asker knows
-    policy::crash_news crashes{};               ///< since the asker last told this gateway
+    policy::crash_update crashes{};             ///< since the asker last told this gateway
     std::uint64_t crashes_since = 0;            ///< what the asker has heard of this gateway's crashes
 };
 
@@ -23,7 +23,7 @@
     bool serves = false;                      ///< the store serves the gateway that answers
     std::optional<milliseconds> failed_ago{}; ///< since the store was last found not to serve it
     std::map<std::string, feed_news> by_kind{};
-    policy::crash_news crashes{};
+    policy::crash_update crashes{};
 };
 
 nlohmann::json to_json(const news_question& question);
--- a/src/node/shared_quarantine.cpp
+++ b/src/node/shared_quarantine.cpp
@@ -40,7 +40,7 @@
 std::vector<policy::crash_record> shared_quarantine::shared() const
 {
     const std::lock_guard lock(mutex_);
-    return held_.shared(steady::now());
+    return held_.records(steady::now());
 }
 
 } // namespace vanillagauge::node
--- a/src/policy/quarantine.cpp
+++ b/src/policy/quarantine.cpp
@@ -39,13 +39,13 @@
         return;
     }
     auto& entry = touch(fingerprint, now);
-    entry.seen_here += entry.targets.insert(hash64(target)).second ? 1 : 0;
+    entry.local_losses += entry.targets.insert(hash64(target)).second ? 1 : 0;
 }
 
 // Breaks of connections that waited in a pool are mostly the end of a target that was lost before. But a
 // request that only ever goes over such connections would never be found out: the next time it gets a new
 // one.
-void quarantine::on_doubtful_crash(std::uint64_t fingerprint, time_point now)
+void quarantine::on_possible_crash(std::uint64_t fingerprint, time_point now)
 {
     touch(fingerprint, now);
 }
@@ -61,14 +61,14 @@
         entry = {};
     }
     entry.expires = now + record_life;
-    entry.changed = ++changes_;
+    entry.revision = ++revision_;
     return entry;
 }
 
 bool quarantine::lost_before(std::uint64_t target, time_point began, time_point now)
 {
-    std::erase_if(lost_, [now](const auto& item) { return now - item.second > loss_memory; });
-    const auto [found, first] = lost_.emplace(target, now);
+    std::erase_if(loss_times_, [now](const auto& item) { return now - item.second > loss_memory; });
+    const auto [found, first] = loss_times_.emplace(target, now);
     return !first && began > found->second;
 }
 
@@ -84,7 +84,7 @@
 {
     records_.erase(fingerprint);
     std::erase_if(cleared_, [now](const auto& item) { return item.second.expires <= now; });
-    cleared_[fingerprint] = {now + clearance_life, ++changes_};
+    cleared_[fingerprint] = {now + clearance_life, ++revision_};
 }
 
 bool quarantine::is_cleared(std::uint64_t fingerprint, time_point now) const
@@ -95,72 +95,72 @@
 
 bool quarantine::merge(const std::vector<crash_record>& records, time_point now)
 {
-    bool learnt = false;
-    for (const auto& told : records) {
-        if (is_cleared(told.fingerprint, now)) {
+    bool changed = false;
+    for (const auto& received : records) {
+        if (is_cleared(received.fingerprint, now)) {
             continue;
         }
-        const bool is_new = !records_.contains(told.fingerprint);
+        const bool is_new = !records_.contains(received.fingerprint);
         if (is_new) {
             make_room(now);
         }
-        auto& entry = records_[told.fingerprint];
+        auto& entry = records_[received.fingerprint];
         const auto known = entry.targets.size();
-        entry.targets.insert(told.targets.begin(), told.targets.end());
-        const auto life = std::min<milliseconds>(told.left, record_life);
+        entry.targets.insert(received.targets.begin(), received.targets.end());
+        const auto life = std::min<milliseconds>(received.remaining, record_life);
         entry.expires = std::max(entry.expires, now + life);
         if (is_new || entry.targets.size() > known) {
-            entry.changed = ++changes_;
-            learnt = true;
+            entry.revision = ++revision_;
+            changed = true;
         }
     }
-    return learnt;
+    return changed;
 }
 
-bool quarantine::merge(const crash_news& news, time_point now)
+bool quarantine::merge(const crash_update& update, time_point now)
 {
-    bool learnt = false;
-    for (const auto fingerprint : news.cleared) {
+    bool changed = false;
+    for (const auto fingerprint : update.cleared) {
         if (records_.contains(fingerprint)) {
             clear(fingerprint, now);
-            learnt = true;
+            changed = true;
         }
     }
-    return merge(news.suspects, now) || learnt;
+    return merge(update.suspects, now) || changed;
 }
 
-bool quarantine::holds(const record& entry) const
+bool quarantine::is_quarantined(const record& entry) const
 {
-    return entry.seen_here >= limits_.seen_here || entry.targets.size() >= limits_.seen_anywhere;
+    return entry.local_losses >= limits_.local_losses || entry.targets.size() >= limits_.total_losses;
 }
 
-bool quarantine::suspects(std::uint64_t fingerprint, time_point now) const
+bool quarantine::is_suspect(std::uint64_t fingerprint, time_point now) const
 {
     const auto found = records_.find(fingerprint);
     return found != records_.end() && found->second.expires > now;
 }
 
-crash_news quarantine::news(std::uint64_t since, time_point now) const
+crash_update quarantine::update_since(std::uint64_t since, time_point now) const
 {
-    const auto from = since > changes_ ? 0 : since;
-    crash_news told{changes_, {}, {}};
+    const auto from = since > revision_ ? 0 : since;
+    crash_update update{revision_, {}, {}};
     for (const auto& [fingerprint, entry] : records_) {
-        if (entry.changed > from && entry.expires > now) {
-            told.suspects.push_back({fingerprint, entry.targets, remaining(now, entry.expires)});
+        if (entry.revision > from && entry.expires > now) {
+            update.suspects.push_back({fingerprint, entry.targets, remaining(now, entry.expires)});
         }
     }
     for (const auto& [fingerprint, entry] : cleared_) {
-        if (entry.changed > from && entry.expires > now) {
-            told.cleared.push_back(fingerprint);
+        if (entry.revision > from && entry.expires > now) {
+            update.cleared.push_back(fingerprint);
         }
     }
-    return told;
+    return update;
 }
 
 result<done> quarantine::check(std::uint64_t fingerprint, time_point now) const
 {
     const auto found = records_.find(fingerprint);
-    if (found == records_.end() || found->second.expires <= now || !holds(found->second)) {
+    if (found == records_.end() || found->second.expires <= now || !is_quarantined(found->second)) {
         return done{};
     }
     return error{error_code::quarantined, run_state::not_run,
@@ -169,9 +169,9 @@
                  remaining(now, found->second.expires)};
 }
 
-std::vector<crash_record> quarantine::shared(time_point now) const
+std::vector<crash_record> quarantine::records(time_point now) const
 {
-    return news(0, now).suspects;
+    return update_since(0, now).suspects;
 }
 
 void quarantine::make_room(time_point now)
@@ -186,8 +186,8 @@
     // Suspects go before requests that are held.
     const auto oldest =
         std::min_element(records_.begin(), records_.end(), [this](const auto& left, const auto& right) {
-            const bool left_held = holds(left.second);
-            const bool right_held = holds(right.second);
+            const bool left_held = is_quarantined(left.second);
+            const bool right_held = is_quarantined(right.second);
             return std::tie(left_held, left.second.expires) < std::tie(right_held, right.second.expires);
         });
     records_.erase(oldest);
--- a/tests/policy/decision_tests.cpp
+++ b/tests/policy/decision_tests.cpp
@@ -49,9 +49,9 @@
     first.on_crash(poison, "engine-1", start, start);
     first.on_crash(poison, "engine-1", start, start);
     EXPECT_TRUE(ok(first.check(poison, start)));
-    second.merge(first.shared(start), start);
+    second.merge(first.records(start), start);
     second.on_crash(poison, "engine-2", start, start);
-    first.merge(second.shared(start), start);
+    first.merge(second.records(start), start);
     for (const auto* node : {&first, &second}) {
         const auto held = node->check(poison, start);
         ASSERT_FALSE(ok(held));
@@ -93,14 +93,14 @@
     quarantine second;
     quarantine third;
     first.on_crash(7, "engine-1", start, start);
-    third.merge(first.news(0, start), start);
+    third.merge(first.update_since(0, start), start);
     third.on_answer(7, start + seconds{1});
     second.on_crash(7, "engine-2", start, start);
-    third.merge(second.news(0, start + seconds{2}), start + seconds{2});
+    third.merge(second.update_since(0, start + seconds{2}), start + seconds{2});
     EXPECT_TRUE(ok(third.check(7, start + seconds{2})));
     for (auto* node : {&first, &second}) {
-        node->merge(third.news(0, start + seconds{2}), start + seconds{2});
-        EXPECT_FALSE(node->suspects(7, start + seconds{2}));
+        node->merge(third.update_since(0, start + seconds{2}), start + seconds{2});
+        EXPECT_FALSE(node->is_suspect(7, start + seconds{2}));
     }
 }
 
@@ -108,15 +108,15 @@
 {
     quarantine node;
     node.on_crash(1, "engine-1", start, start);
-    const auto before = node.news(0, start);
+    const auto before = node.update_since(0, start);
     ASSERT_EQ(before.suspects.size(), 1U);
-    EXPECT_FALSE(node.has_news(before.as_of));
+    EXPECT_FALSE(node.changed_since(before.as_of));
     node.on_crash(2, "engine-2", start, start);
-    ASSERT_TRUE(node.has_news(before.as_of));
-    const auto after = node.news(before.as_of, start);
+    ASSERT_TRUE(node.changed_since(before.as_of));
+    const auto after = node.update_since(before.as_of, start);
     ASSERT_EQ(after.suspects.size(), 1U);
     EXPECT_EQ(after.suspects.front().fingerprint, 2U);
-    EXPECT_EQ(node.news(1000, start).suspects.size(), 2U);
+    EXPECT_EQ(node.update_since(1000, start).suspects.size(), 2U);
     quarantine other;
     EXPECT_TRUE(other.merge(after, start));
     EXPECT_FALSE(other.merge(after, start)) << "what is known is no news, or it would be told for ever";
@@ -130,11 +130,11 @@
     quarantine other({2, 3});
     other.on_crash(7, "engine-1", start, start);
     node.on_crash(7, "engine-2", start, start);
-    node.merge(other.news(0, start), start);
+    node.merge(other.update_since(0, start), start);
     EXPECT_TRUE(ok(node.check(7, start)));
     other.on_crash(7, "engine-3", start, start);
     EXPECT_FALSE(ok(other.check(7, start)));
-    node.merge(other.news(0, start), start);
+    node.merge(other.update_since(0, start), start);
     EXPECT_FALSE(ok(node.check(7, start)));
 }
 
@@ -143,12 +143,12 @@
 TEST(quarantine, suspects_after_a_doubtful_crash_without_holding)
 {
     quarantine node;
-    node.on_doubtful_crash(7, start);
-    node.on_doubtful_crash(7, start);
-    EXPECT_TRUE(node.suspects(7, start));
+    node.on_possible_crash(7, start);
+    node.on_possible_crash(7, start);
+    EXPECT_TRUE(node.is_suspect(7, start));
     EXPECT_TRUE(ok(node.check(7, start)));
     node.on_answer(7, start);
-    EXPECT_FALSE(node.suspects(7, start));
+    EXPECT_FALSE(node.is_suspect(7, start));
 }
 
 TEST(quarantine, keeps_its_memory_bounded_and_what_it_holds)
