--- a/src/gateway/weights_keeper.cpp
+++ b/src/gateway/weights_keeper.cpp
@@ -58,9 +58,9 @@
 {
     policy::stored_lease lease;
     lease.holder = text_or_empty(stored.value, "holder");
-    lease.former = text_or_empty(stored.value, "former");
+    lease.previous_holder = text_or_empty(stored.value, "former");
     lease.version = stored.revision;
-    lease.acts_in = milliseconds{whole_or(stored.value, "acts_in_ms", unknown_wait.count())};
+    lease.takeover_wait = milliseconds{whole_or(stored.value, "acts_in_ms", unknown_wait.count())};
     return lease;
 }
 
@@ -76,8 +76,8 @@
                                                           : settings.gateway.model_order_holder),
       self_(settings.vm + "@" + settings.gateway.relay_listen),
       lease_({.self = self_,
-              .length = settings.gateway.order_lease * 2 / 3,
-              .longest_order = settings.gateway.order_lease}),
+              .ttl = settings.gateway.order_lease * 2 / 3,
+              .max_order_time = settings.gateway.order_lease}),
       clock_gap_(boot_clock() - steady::now().time_since_epoch())
 {
 }
@@ -92,8 +92,8 @@
 {
     stopped_ = true;
     const auto now = steady::now();
-    const auto acts_in = lease_.acts_in(now);
-    if (const auto held = lease_.give_up(now)) {
+    const auto acts_in = lease_.takeover_wait(now);
+    if (const auto held = lease_.release(now)) {
         net::start(loop_, give_lease_up(*held, acts_in));
     }
 }
@@ -154,7 +154,7 @@
     const bool holder_went = holder_lives_ && !holder_lives;
     const bool became_first = first && !first_;
     if (!lease_.holds(now) && (became_first || (first && holder_went))) {
-        lease_.on_doubt();
+        lease_.invalidate();
     }
     holder_lives_ = holder_lives;
     first_ = first;
@@ -165,13 +165,13 @@
 {
     while (!stopped_) {
         switch (lease_.next(steady::now())) {
-        case policy::lease_step::read:
+        case policy::lease_action::read:
             co_await read_lease();
             break;
-        case policy::lease_step::write:
+        case policy::lease_action::write:
             co_await write_lease();
             break;
-        case policy::lease_step::none:
+        case policy::lease_action::none:
             break;
         }
         co_await net::sleep_for(loop_, tend_every);
@@ -199,7 +199,7 @@
     const auto revision = lease_.expected_version();
     const nlohmann::json lease{
         {"holder", self_},
-        {"acts_in_ms", lease_.acts_in(asked).count()},
+        {"acts_in_ms", lease_.takeover_wait(asked).count()},
         {"renewal", std::chrono::duration_cast<milliseconds>(asked.time_since_epoch()).count()}};
     result<stored_object> written = error{};
     if (revision == 0) {
@@ -262,7 +262,7 @@
 
 void weights_keeper::order_next(time_point now)
 {
-    if (named_.empty() || !lease_.may_order(now)) {
+    if (named_.empty() || !lease_.fencing_token(now)) {
         return;
     }
     std::map<std::string, std::map<std::string, std::uint64_t>> newest; // by the models that share engines
@@ -320,7 +320,7 @@
     }
     const auto connection = std::get<std::shared_ptr<net::http_connection>>(taken);
     // The wait for the connection may have been longer than the lease.
-    const auto number = was_suspended() || stopped_ ? std::nullopt : lease_.may_order(steady::now());
+    const auto number = was_suspended() || stopped_ ? std::nullopt : lease_.fencing_token(steady::now());
     if (!number) {
         at->pool.give_back(connection, seconds(1));
         co_return error{error_code::conflict, run_state::not_run, "the lease has ended"};
--- a/src/policy/wave_fence.cpp
+++ b/src/policy/wave_fence.cpp
@@ -10,72 +10,72 @@
 
 } // namespace
 
-void wave_fence::on_view(bool ours, time_point updated, time_point now)
+void wave_fence::on_view(bool selected, time_point updated, time_point now)
 {
-    if (ours && !ours_) {
-        ours_since_ = now;
+    if (selected && !selected_) {
+        selected_since_ = now;
     }
-    ours_ = ours;
+    selected_ = selected;
     view_updated_ = updated;
 }
 
 void wave_fence::on_read(const std::string& holder, std::uint64_t version, time_point now)
 {
-    busy_ = false;
-    known_ = true;
-    store_ = store_state::answers;
+    request_pending_ = false;
+    state_known_ = true;
+    store_ = store_state::available;
     stored_version_ = version;
     number_ = std::max(number_, version);
-    was_free_ = version == 0 || (holder == settings_.self && lease_end_ > now);
+    was_unheld_ = version == 0 || (holder == settings_.self && lease_end_ > now);
 }
 
-void wave_fence::on_written(std::uint64_t version, time_point asked)
+void wave_fence::on_written(std::uint64_t version, time_point requested_at)
 {
-    busy_ = false;
-    store_ = store_state::answers;
+    request_pending_ = false;
+    store_ = store_state::available;
     stored_version_ = version;
     number_ = std::max(number_, version);
-    lease_end_ = asked + settings_.lease;
-    next_write_ = asked + settings_.lease / renewals_a_lease;
+    lease_end_ = requested_at + settings_.lease_ttl;
+    next_write_ = requested_at + settings_.lease_ttl / renewals_a_lease;
 }
 
 // Somebody else took the lease: nothing is ordered until it has been read and waited out.
 void wave_fence::on_conflict()
 {
-    busy_ = false;
-    known_ = false;
-    store_ = store_state::answers;
+    request_pending_ = false;
+    state_known_ = false;
+    store_ = store_state::available;
     lease_end_ = time_point{};
-    was_free_ = false;
+    was_unheld_ = false;
 }
 
 void wave_fence::on_failed(time_point now)
 {
-    busy_ = false;
-    known_ = false;
-    store_ = store_state::fails;
+    request_pending_ = false;
+    state_known_ = false;
+    store_ = store_state::unavailable;
     next_try_ = now + store_retry;
 }
 
-void wave_fence::on_number(std::uint64_t seen)
+void wave_fence::on_fencing_token(std::uint64_t seen)
 {
     number_ = std::max(number_, seen);
 }
 
 fence_action wave_fence::next(time_point now)
 {
-    if (!ours_ || busy_ || now < next_try_) {
+    if (!selected_ || request_pending_ || now < next_try_) {
         return fence_action::none;
     }
-    if (!known_) {
-        busy_ = true;
+    if (!state_known_) {
+        request_pending_ = true;
         return fence_action::read;
     }
-    const bool may_take = settings_.enforced || was_free_ || waited_out(now) || lease_end_ > now;
+    const bool may_take = settings_.enforced || was_unheld_ || takeover_wait_over(now) || lease_end_ > now;
     if (!may_take || now < next_write_) {
         return fence_action::none;
     }
-    busy_ = true;
+    request_pending_ = true;
     return fence_action::write;
 }
 
@@ -87,16 +87,16 @@
 // behind and stall every step; then the view stands in, after the same wait. Two nodes cut off from each
 // other in an outage may both order; both order the newest version announced to them and labels come from the
 // engines, so the price is work, not a promise.
-std::optional<std::uint64_t> wave_fence::may_order(time_point now) const
+std::optional<std::uint64_t> wave_fence::fencing_token(time_point now) const
 {
-    if (!ours_ || now >= view_updated_ + settings_.lease) {
+    if (!selected_ || now >= view_updated_ + settings_.lease_ttl) {
         return std::nullopt;
     }
     const bool held = now < lease_end_;
-    if (held && (settings_.enforced || was_free_ || waited_out(now))) {
+    if (held && (settings_.enforced || was_unheld_ || takeover_wait_over(now))) {
         return number_;
     }
-    if (store_ == store_state::fails && waited_out(now)) {
+    if (store_ == store_state::unavailable && takeover_wait_over(now)) {
         return number_;
     }
     return std::nullopt;
--- a/src/policy/wave_fence.hpp
+++ b/src/policy/wave_fence.hpp
@@ -11,10 +11,10 @@
 namespace vanillagauge::policy {
 
 struct fence_settings {
-    std::string self;                 ///< of this life of the process
-    bool enforced = false;            ///< the engines refuse an old fencing number
-    milliseconds lease{3000};         ///< the holder stops when it is over
-    milliseconds longest_order{5000}; ///< after which an order is done or has failed
+    std::string self;                  ///< of this life of the process
+    bool enforced = false;             ///< the engines refuse an old fencing number
+    milliseconds lease_ttl{3000};      ///< the holder stops when it is over
+    milliseconds max_order_time{5000}; ///< after which an order is done or has failed
 };
 
 enum class fence_action { none, read, write };
@@ -25,45 +25,45 @@
     explicit wave_fence(fence_settings settings) : settings_(std::move(settings)) {}
 
     // Events.
-    /// `updated`: when the view was heard; `ours`: it names this process for the deployment.
-    void on_view(bool ours, time_point updated, time_point now);
+    /// `updated`: when the view was heard; `selected`: it names this process for the deployment.
+    void on_view(bool selected, time_point updated, time_point now);
     /// The lease as stored; version 0: there is none.
     void on_read(const std::string& holder, std::uint64_t version, time_point now);
-    /// The write took effect. `asked` begins the lease: the answer may have been long under way.
-    void on_written(std::uint64_t version, time_point asked);
+    /// The write took effect. `requested_at` begins the lease: the answer may have been long under way.
+    void on_written(std::uint64_t version, time_point requested_at);
     void on_conflict();
     /// The store did not answer, or not in time to tell.
     void on_failed(time_point now);
     /// An engine told the highest number that it has seen.
-    void on_number(std::uint64_t seen);
+    void on_fencing_token(std::uint64_t seen);
 
     // Decisions.
     /// What to do at the store; the event that answers it must follow.
     fence_action next(time_point now);
     /// The number to order with. Ask again after every wait: a pause shows only there.
-    std::optional<std::uint64_t> may_order(time_point now) const;
+    std::optional<std::uint64_t> fencing_token(time_point now) const;
 
     // Queries.
     std::uint64_t expected_version() const { return stored_version_; }
-    milliseconds takeover_wait() const { return settings_.lease + settings_.longest_order; }
+    milliseconds takeover_wait() const { return settings_.lease_ttl + settings_.max_order_time; }
 
 private:
-    enum class store_state { unknown, answers, fails };
+    enum class store_state { unknown, available, unavailable };
     fence_settings settings_;
-    bool ours_ = false;
-    time_point ours_since_{};
+    bool selected_ = false;
+    time_point selected_since_{};
     time_point view_updated_{};
     store_state store_ = store_state::unknown;
-    bool known_ = false; ///< `stored_version_` is what the store holds, as far as this process knows
-    bool busy_ = false;
-    bool was_free_ = false; ///< nobody held the lease when it was read
+    bool state_known_ = false; ///< `stored_version_` is what the store holds, as far as this process knows
+    bool request_pending_ = false;
+    bool was_unheld_ = false; ///< nobody held the lease when it was read
     std::uint64_t stored_version_ = 0;
     std::uint64_t number_ = 0;
     time_point lease_end_{};
     time_point next_write_{};
     time_point next_try_{};
 
-    bool waited_out(time_point now) const { return now >= ours_since_ + takeover_wait(); }
+    bool takeover_wait_over(time_point now) const { return now >= selected_since_ + takeover_wait(); }
 };
 
 } // namespace vanillagauge::policy
--- a/src/rollout/order_fence.cpp
+++ b/src/rollout/order_fence.cpp
@@ -17,7 +17,7 @@
     policy::fence_settings settings;
     settings.self = self;
     settings.enforced = deployment.fencing == config::fencing_mode::enforced;
-    settings.longest_order = longest_order;
+    settings.max_order_time = longest_order;
     return settings;
 }
 
@@ -145,14 +145,14 @@
 {
     const std::lock_guard lock(mutex_);
     record("number", steady::now(), {{"seen", seen}});
-    fence_.on_number(seen);
+    fence_.on_fencing_token(seen);
 }
 
 std::optional<std::uint64_t> order_fence::may_order() const
 {
     const std::lock_guard lock(mutex_);
     const auto now = steady::now();
-    const auto number = fence_.may_order(now);
+    const auto number = fence_.fencing_token(now);
     record("may_order", now, {{"number", number ? nlohmann::json(*number) : nlohmann::json()}});
     return number;
 }
--- a/tests/policy/wave_fence_tests.cpp
+++ b/tests/policy/wave_fence_tests.cpp
@@ -27,7 +27,7 @@
 TEST(wave_fence, lets_the_first_holder_order_at_once_with_the_number_of_its_write)
 {
     for (const bool enforced : {false, true}) {
-        EXPECT_EQ(holder(enforced).may_order(start), 1U);
+        EXPECT_EQ(holder(enforced).fencing_token(start), 1U);
     }
 }
 
@@ -35,7 +35,7 @@
 {
     auto fence = holder(true);
     fence.on_view(false, start, start);
-    EXPECT_FALSE(fence.may_order(start).has_value());
+    EXPECT_FALSE(fence.fencing_token(start).has_value());
     EXPECT_EQ(fence.next(start + seconds{1}), fence_action::none);
 }
 
@@ -45,14 +45,14 @@
 TEST(wave_fence, stops_a_holder_that_wakes_after_its_lease)
 {
     auto paused = holder(false);
-    EXPECT_TRUE(paused.may_order(start + milliseconds{2999}).has_value());
-    EXPECT_FALSE(paused.may_order(start + seconds{3}).has_value());
+    EXPECT_TRUE(paused.fencing_token(start + milliseconds{2999}).has_value());
+    EXPECT_FALSE(paused.fencing_token(start + seconds{3}).has_value());
     const auto woken = start + seconds{20};
     paused.on_view(true, woken, woken);
-    EXPECT_FALSE(paused.may_order(woken).has_value());
+    EXPECT_FALSE(paused.fencing_token(woken).has_value());
     ASSERT_EQ(paused.next(woken), fence_action::write);
     paused.on_conflict();
-    EXPECT_FALSE(paused.may_order(woken).has_value());
+    EXPECT_FALSE(paused.fencing_token(woken).has_value());
 }
 
 // The lease begins when the write was asked for. Counted from the answer, a pause between the two would let
@@ -66,7 +66,7 @@
     fence.next(start);
     fence.on_written(1, start);
     fence.on_view(true, start + seconds{4}, start + seconds{4});
-    EXPECT_FALSE(fence.may_order(start + seconds{4}).has_value());
+    EXPECT_FALSE(fence.fencing_token(start + seconds{4}).has_value());
 }
 
 TEST(wave_fence, makes_a_successor_wait_for_lease_and_longest_order_where_numbers_are_ignored)
@@ -80,7 +80,7 @@
     next.on_view(true, after, after);
     ASSERT_EQ(next.next(after), fence_action::write);
     next.on_written(8, after);
-    EXPECT_EQ(next.may_order(after), 8U);
+    EXPECT_EQ(next.fencing_token(after), 8U);
 }
 
 TEST(wave_fence, lets_a_successor_order_at_once_where_numbers_are_enforced)
@@ -91,7 +91,7 @@
     next.on_read("a", 7, start);
     ASSERT_EQ(next.next(start), fence_action::write);
     next.on_written(8, start);
-    EXPECT_EQ(next.may_order(start), 8U);
+    EXPECT_EQ(next.fencing_token(start), 8U);
 }
 
 // The store is down for long: no lease can be renewed. Without orders the trainers' versions would leave the
@@ -104,17 +104,17 @@
     fence.on_view(true, later, later);
     fence.next(later);
     fence.on_failed(later);
-    EXPECT_EQ(fence.may_order(later), 1U);
-    EXPECT_FALSE(fence.may_order(later + seconds{3}).has_value());
+    EXPECT_EQ(fence.fencing_token(later), 1U);
+    EXPECT_FALSE(fence.fencing_token(later + seconds{3}).has_value());
 
     wave_fence next(settings("b", true));
     next.on_view(true, start, start);
     next.next(start);
     next.on_failed(start);
-    next.on_number(9);
+    next.on_fencing_token(9);
     next.on_view(true, later, later);
-    EXPECT_FALSE(next.may_order(start + seconds{2}).has_value());
-    EXPECT_EQ(next.may_order(later), 9U);
+    EXPECT_FALSE(next.fencing_token(start + seconds{2}).has_value());
+    EXPECT_EQ(next.fencing_token(later), 9U);
 }
 
 } // namespace
--- a/tests/traces/replay.cpp
+++ b/tests/traces/replay.cpp
@@ -249,7 +249,7 @@
             state.on_failed(at(line));
         }
         else if (event == "number") {
-            state.on_number(line.at("seen").get<std::uint64_t>());
+            state.on_fencing_token(line.at("seen").get<std::uint64_t>());
         }
         else {
             may_order(line, state);
@@ -259,7 +259,7 @@
     void may_order(const json& line, policy::wave_fence& state)
     {
         state.on_view(line.at("ours").get<bool>(), at(line, "updated_us"), at(line));
-        const auto number = state.may_order(at(line));
+        const auto number = state.fencing_token(at(line));
         compare("leave to order", line.at("number"), number ? json(*number) : json());
         ++(number ? found_.orders_allowed : found_.orders_refused);
         found_.orders_by_vm[line.at("vm").get<std::string>()] += number ? 1 : 0;
