--- a/src/gateway/weights_keeper.cpp
+++ b/src/gateway/weights_keeper.cpp
@@ -2,7 +2,7 @@
 
 #include "gateway/foreign_json.hpp"
 #include "observe/log.hpp"
-#include "policy/load_plan.hpp"
+#include "policy/weight_load_plan.hpp"
 
 #include <algorithm>
 #include <ctime>
@@ -276,19 +276,19 @@
         }
     }
     for (const auto& [service, versions] : newest) {
-        std::vector<policy::load_engine> views;
+        std::vector<policy::model_engine> views;
         for (const auto& at : engines[service]) {
-            policy::load_engine view;
+            policy::model_engine view;
             view.id = at->info.lifetime();
             for (const auto& [model, version] : versions) {
                 view.versions[model] = at->version_of(model);
             }
             view.in_flight = at->streams;
             view.loading = loading_.contains(view.id);
-            view.resting = now < resting_until_[view.id];
+            view.backing_off = now < resting_until_[view.id];
             views.push_back(std::move(view));
         }
-        for (const auto& next : policy::plan_loads(views, versions)) {
+        for (const auto& next : policy::plan_weight_loads(views, versions)) {
             loading_.insert(next.engine);
             net::start(loop_, load(targets_.find(next.engine), next.model, next.version));
         }
--- a/src/policy/policy.hpp
+++ b/src/policy/policy.hpp
@@ -8,7 +8,6 @@
 #include "policy/fair_queue.hpp"
 #include "policy/latency_quantile.hpp"
 #include "policy/load_hint.hpp"
-#include "policy/load_plan.hpp"
 #include "policy/order_lease.hpp"
 #include "policy/outlier_ejection.hpp"
 #include "policy/placement.hpp"
@@ -21,6 +20,7 @@
 #include "policy/target_pool.hpp"
 #include "policy/wave_fence.hpp"
 #include "policy/wave_plan.hpp"
+#include "policy/weight_load_plan.hpp"
 #include "policy/work.hpp"
 
 #endif
--- a/src/policy/wave_plan.cpp
+++ b/src/policy/wave_plan.cpp
@@ -43,7 +43,7 @@
 {
     std::vector<std::string> chosen;
     for (const auto& engine : engines) {
-        if (behind(engine, announced) && !engine.fetched && !engine.fetching) {
+        if (behind(engine, announced) && !engine.fetch_granted && !engine.fetch_requested) {
             chosen.push_back(engine.id);
         }
     }
@@ -58,7 +58,8 @@
         if (!engine.leaving && engine.in_flight > 0) {
             return {};
         }
-        if (behind(engine, announced) && engine.fetched && !engine.ordering && !backing_off(engine, now)) {
+        if (behind(engine, announced) && engine.fetch_granted && !engine.order_pending &&
+            !backing_off(engine, now)) {
             chosen.push_back(engine.id);
         }
     }
@@ -67,9 +68,9 @@
 
 } // namespace
 
-std::size_t most_loading(std::size_t able, wave_weight weight)
+std::size_t max_wave_loads(std::size_t able, wave_strategy strategy)
 {
-    const std::size_t share = weight == wave_weight::staleness ? staleness_share : idle_share;
+    const std::size_t share = strategy == wave_strategy::staleness ? staleness_share : idle_share;
     return std::max<std::size_t>(1, able / share);
 }
 
@@ -83,12 +84,12 @@
 // doubled up to 8 s, so one broken engine neither blocks its wave nor floods the store. The target is always
 // the newest announced version, so orders only go up, and an engine that reports older weights than ordered
 // is behind again, whatever an earlier order answered.
-wave_actions plan_wave(const std::vector<wave_engine>& engines, std::uint64_t announced, wave_weight weight,
-                       time_point now)
+wave_actions plan_wave(const std::vector<wave_engine>& engines, std::uint64_t announced,
+                       wave_strategy strategy, time_point now)
 {
     wave_actions actions;
     actions.fetch = to_fetch(engines, announced);
-    if (weight == wave_weight::drain_all) {
+    if (strategy == wave_strategy::drain_all) {
         actions.hold_new_work = std::any_of(engines.begin(), engines.end(), [&](const wave_engine& engine) {
             return behind(engine, announced) && engine.reachable;
         });
@@ -100,14 +101,14 @@
     std::vector<const wave_engine*> waiting;
     for (const auto& engine : engines) {
         able += !engine.leaving && engine.reachable ? 1 : 0;
-        loading += engine.ordering ? 1 : 0;
-        const bool due = behind(engine, announced) && engine.fetched && !engine.ordering;
+        loading += engine.order_pending ? 1 : 0;
+        const bool due = behind(engine, announced) && engine.fetch_granted && !engine.order_pending;
         if (due && engine.reachable && !backing_off(engine, now)) {
             waiting.push_back(&engine);
         }
     }
-    weight == wave_weight::idle ? sort_by_cost(waiting) : sort_by_age(waiting);
-    const std::size_t most = most_loading(able, weight);
+    strategy == wave_strategy::idle ? sort_by_cost(waiting) : sort_by_age(waiting);
+    const std::size_t most = max_wave_loads(able, strategy);
     for (const auto* engine : waiting) {
         if (loading + actions.order.size() < most) {
             actions.order.push_back(engine->id);
--- a/src/policy/wave_plan.hpp
+++ b/src/policy/wave_plan.hpp
@@ -15,16 +15,16 @@
     std::string id;
     std::uint64_t version = 0; ///< as it reports; 0: not known
     int in_flight = 0;
-    bool fetched = false;  ///< its share of the weight store's rate for the version is granted
-    bool fetching = false; ///< asked for
-    bool ordering = false; ///< an order is under way
+    bool fetch_granted = false;   ///< its share of the weight store's rate for the version is granted
+    bool fetch_requested = false; ///< asked for
+    bool order_pending = false;   ///< an order is under way
     bool leaving = false;
     bool reachable = true;
     int failures = 0; ///< orders in a row that failed
     time_point failed_at{};
 };
 
-enum class wave_weight {
+enum class wave_strategy {
     staleness, ///< new weights soon: half of the engines at once
     idle,      ///< engines kept busy: an eighth at once, the least loaded first
     drain_all, ///< the plain baseline: stop all, wait until none runs, load all at once
@@ -36,11 +36,11 @@
     bool hold_new_work = false;     ///< start nothing on engines that lie behind
 };
 
-wave_actions plan_wave(const std::vector<wave_engine>& engines, std::uint64_t announced, wave_weight weight,
-                       time_point now);
+wave_actions plan_wave(const std::vector<wave_engine>& engines, std::uint64_t announced,
+                       wave_strategy strategy, time_point now);
 
 /// How many of the engines that can load may do so at once.
-std::size_t most_loading(std::size_t able, wave_weight weight);
+std::size_t max_wave_loads(std::size_t able, wave_strategy strategy);
 
 } // namespace vanillagauge::policy
 
--- a/src/policy/load_plan.cpp
+++ b/src/policy/weight_load_plan.cpp
@@ -1,4 +1,4 @@
-#include "policy/load_plan.hpp"
+#include "policy/weight_load_plan.hpp"
 
 #include "base/digest.hpp"
 
@@ -13,14 +13,14 @@
 constexpr std::size_t share_at_once = 5;
 constexpr std::size_t least_at_once = 2;
 
-std::uint64_t version_at(const load_engine& engine, const std::string& model)
+std::uint64_t version_at(const model_engine& engine, const std::string& model)
 {
     const auto found = engine.versions.find(model);
     return found == engine.versions.end() ? 0 : found->second;
 }
 
 struct assignment {
-    const load_engine* engine = nullptr;
+    const model_engine* engine = nullptr;
     std::string model;
     std::uint64_t newest = 0;
 
@@ -29,10 +29,10 @@
 
 /// Models take turns in choosing an engine, each the one that is least behind for it, so that an engine keeps
 /// its model while others come and go.
-std::vector<assignment> assign(const std::vector<load_engine>& engines,
+std::vector<assignment> assign(const std::vector<model_engine>& engines,
                                const std::map<std::string, std::uint64_t>& newest)
 {
-    std::vector<const load_engine*> left;
+    std::vector<const model_engine*> left;
     left.reserve(engines.size());
     for (const auto& engine : engines) {
         left.push_back(&engine);
@@ -57,7 +57,7 @@
 
 } // namespace
 
-std::size_t loads_at_once(std::size_t engines)
+std::size_t max_concurrent_loads(std::size_t engines)
 {
     return std::max(least_at_once, engines / share_at_once);
 }
@@ -68,21 +68,21 @@
 // is named, and the steps of one trainer would find none that is fresh enough. So each engine keeps up with
 // one model only; the other models it holds age, and serve as long as they are fresh enough. Those furthest
 // behind load first: they are the next to be too old for any batch.
-std::vector<planned_load> plan_loads(const std::vector<load_engine>& engines,
-                                     const std::map<std::string, std::uint64_t>& newest)
+std::vector<weight_load> plan_weight_loads(const std::vector<model_engine>& engines,
+                                           const std::map<std::string, std::uint64_t>& newest)
 {
     const auto loading = static_cast<std::size_t>(std::count_if(
-        engines.begin(), engines.end(), [](const load_engine& engine) { return engine.loading; }));
-    const auto most = loads_at_once(engines.size());
+        engines.begin(), engines.end(), [](const model_engine& engine) { return engine.loading; }));
+    const auto most = max_concurrent_loads(engines.size());
     auto behind = assign(engines, newest);
     std::erase_if(behind, [](const assignment& item) {
-        return item.lag() == 0 || item.engine->loading || item.engine->resting;
+        return item.lag() == 0 || item.engine->loading || item.engine->backing_off;
     });
     std::stable_sort(behind.begin(), behind.end(), [](const assignment& left, const assignment& right) {
         return std::tuple(right.lag(), left.engine->in_flight) <
                std::tuple(left.lag(), right.engine->in_flight);
     });
-    std::vector<planned_load> plan;
+    std::vector<weight_load> plan;
     for (const auto& item : behind) {
         if (loading + plan.size() >= most) {
             break;
--- a/src/policy/load_plan.hpp
+++ b/src/policy/weight_load_plan.hpp
@@ -1,6 +1,6 @@
 /// Which engines load which model's new weights next, where engines hold several models.
-#ifndef VANILLAGAUGE_POLICY_LOAD_PLAN_HPP
-#define VANILLAGAUGE_POLICY_LOAD_PLAN_HPP
+#ifndef VANILLAGAUGE_POLICY_WEIGHT_LOAD_PLAN_HPP
+#define VANILLAGAUGE_POLICY_WEIGHT_LOAD_PLAN_HPP
 
 #include <cstddef>
 #include <cstdint>
@@ -10,28 +10,28 @@
 
 namespace vanillagauge::policy {
 
-struct load_engine {
+struct model_engine {
     std::string id;
     std::map<std::string, std::uint64_t> versions; ///< by model
     int in_flight = 0;
     bool loading = false;
-    bool resting = false; ///< an order to it failed a moment ago
+    bool backing_off = false; ///< an order to it failed a moment ago
 };
 
-struct planned_load {
+struct weight_load {
     std::string engine;
     std::string model;
     std::uint64_t version = 0;
 
-    friend bool operator==(const planned_load&, const planned_load&) = default;
+    friend bool operator==(const weight_load&, const weight_load&) = default;
 };
 
 /// The models' newest versions are in `newest`.
-std::vector<planned_load> plan_loads(const std::vector<load_engine>& engines,
-                                     const std::map<std::string, std::uint64_t>& newest);
+std::vector<weight_load> plan_weight_loads(const std::vector<model_engine>& engines,
+                                           const std::map<std::string, std::uint64_t>& newest);
 
 /// How many of the engines load at once.
-std::size_t loads_at_once(std::size_t engines);
+std::size_t max_concurrent_loads(std::size_t engines);
 
 } // namespace vanillagauge::policy
 
--- a/src/rollout/core/job_shape.cpp
+++ b/src/rollout/core/job_shape.cpp
@@ -24,13 +24,13 @@
     return shape;
 }
 
-policy::wave_weight weight_of(const config::job_spec& job)
+policy::wave_strategy weight_of(const config::job_spec& job)
 {
     if (job.plain) {
-        return policy::wave_weight::drain_all;
+        return policy::wave_strategy::drain_all;
     }
-    return job.preference == config::job_preference::idle ? policy::wave_weight::idle
-                                                          : policy::wave_weight::staleness;
+    return job.preference == config::job_preference::idle ? policy::wave_strategy::idle
+                                                          : policy::wave_strategy::staleness;
 }
 
 } // namespace vanillagauge::rollout
--- a/src/rollout/core/job_shape.hpp
+++ b/src/rollout/core/job_shape.hpp
@@ -9,7 +9,7 @@
 namespace vanillagauge::rollout {
 
 samples::job_shape shape_of(const config::job_spec& spec);
-policy::wave_weight weight_of(const config::job_spec& spec);
+policy::wave_strategy weight_of(const config::job_spec& spec);
 
 } // namespace vanillagauge::rollout
 
--- a/src/rollout/rollout_service.cpp
+++ b/src/rollout/rollout_service.cpp
@@ -75,13 +75,13 @@
                                v1::AnnounceReply* /*reply*/, google::protobuf::Closure* done)
 {
     const int weight = request->weight();
-    if (weight < 0 || weight > static_cast<int>(policy::wave_weight::drain_all)) {
+    if (weight < 0 || weight > static_cast<int>(policy::wave_strategy::drain_all)) {
         wire::from(control).fail({error_code::invalid_argument, run_state::not_run,
                                   "expected a weight of 0 to 2, found " + std::to_string(weight)});
     }
     else {
         weights_->announce(request->deployment(), request->version(),
-                           static_cast<policy::wave_weight>(weight));
+                           static_cast<policy::wave_strategy>(weight));
     }
     done->Run();
 }
--- a/src/rollout/weight_rollout.cpp
+++ b/src/rollout/weight_rollout.cpp
@@ -37,7 +37,7 @@
 }
 
 void weight_rollout::announce(const std::string& deployment, std::uint64_t version,
-                              policy::wave_weight weight)
+                              policy::wave_strategy weight)
 {
     {
         const std::lock_guard lock(mutex_);
@@ -78,7 +78,7 @@
     const auto now = steady::now();
     std::shared_ptr<order_fence> fence;
     std::uint64_t announced = 0;
-    policy::wave_weight weight{};
+    policy::wave_strategy weight{};
     bool tell_now = false;
     {
         const std::lock_guard lock(mutex_);
@@ -126,7 +126,7 @@
 // The deployment's owner orders for all jobs, and a job's owner may be another process. Telling it again and
 // again also informs its successor.
 void weight_rollout::tell(const std::string& deployment, const std::string& address, std::uint64_t version,
-                          policy::wave_weight weight)
+                          policy::wave_strategy weight)
 {
     v1::AnnounceRequest request;
     request.set_deployment(deployment);
--- a/src/rollout/weight_rollout.hpp
+++ b/src/rollout/weight_rollout.hpp
@@ -19,7 +19,7 @@
     explicit weight_rollout(const context& shared);
 
     /// The version is a maximum: announcing an older one changes nothing.
-    void announce(const std::string& deployment, std::uint64_t version, policy::wave_weight weight);
+    void announce(const std::string& deployment, std::uint64_t version, policy::wave_strategy weight);
     /// Orders what is due here, tells the deployments' other owners what was announced here, and asks engines
     /// how they are.
     void tick();
@@ -27,7 +27,7 @@
 private:
     struct deployment_state {
         std::uint64_t announced = 0;
-        policy::wave_weight weight = policy::wave_weight::staleness;
+        policy::wave_strategy weight = policy::wave_strategy::staleness;
         std::shared_ptr<order_fence> fence;
         std::map<std::uint64_t, time_point> pending; ///< announced when, and not yet held by all engines
     };
@@ -43,7 +43,7 @@
     void advance(const std::string& deployment, const pool& engines, const node::view& view);
     void note_convergence(const std::string& deployment, const std::vector<policy::wave_engine>& engines);
     void tell(const std::string& deployment, const std::string& address, std::uint64_t version,
-              policy::wave_weight weight);
+              policy::wave_strategy weight);
     void fetch(const std::string& deployment, const pool& engines, const std::string& engine,
                std::uint64_t version);
     void order(const std::string& deployment, const pool& engines, const std::string& engine,
--- a/tests/policy/wave_plan_tests.cpp
+++ b/tests/policy/wave_plan_tests.cpp
@@ -9,7 +9,7 @@
 
 constexpr time_point start{};
 
-std::vector<wave_engine> engines_at(std::size_t count, std::uint64_t version, bool fetched = true)
+std::vector<wave_engine> engines_at(std::size_t count, std::uint64_t version, bool fetch_granted = true)
 {
     std::vector<wave_engine> engines;
     for (std::size_t place = 0; place < count; ++place) {
@@ -17,7 +17,7 @@
         engine.id = std::to_string(place);
         engine.version = version;
         engine.in_flight = static_cast<int>(count - place);
-        engine.fetched = fetched;
+        engine.fetch_granted = fetch_granted;
         engines.push_back(engine);
     }
     return engines;
@@ -25,33 +25,33 @@
 
 TEST(wave_plan, asks_the_weight_store_before_any_engine_stands_still)
 {
-    const auto actions = plan_wave(engines_at(8, 1, false), 2, wave_weight::staleness, start);
+    const auto actions = plan_wave(engines_at(8, 1, false), 2, wave_strategy::staleness, start);
     EXPECT_EQ(actions.fetch.size(), 8U);
     EXPECT_TRUE(actions.order.empty());
 }
 
 TEST(wave_plan, loads_as_many_at_once_as_the_operator_weighs)
 {
-    EXPECT_EQ(plan_wave(engines_at(8, 1), 2, wave_weight::staleness, start).order.size(), 4U);
-    const auto idle = plan_wave(engines_at(8, 1), 2, wave_weight::idle, start);
+    EXPECT_EQ(plan_wave(engines_at(8, 1), 2, wave_strategy::staleness, start).order.size(), 4U);
+    const auto idle = plan_wave(engines_at(8, 1), 2, wave_strategy::idle, start);
     EXPECT_EQ(idle.order, std::vector<std::string>{"7"});
 }
 
 TEST(wave_plan, counts_loads_under_way_into_the_wave)
 {
     auto engines = engines_at(8, 1);
-    engines[0].ordering = true;
-    engines[1].ordering = true;
-    EXPECT_EQ(plan_wave(engines, 2, wave_weight::staleness, start).order.size(), 2U);
+    engines[0].order_pending = true;
+    engines[1].order_pending = true;
+    EXPECT_EQ(plan_wave(engines, 2, wave_strategy::staleness, start).order.size(), 2U);
 }
 
 TEST(wave_plan, gives_a_leaving_engine_nothing)
 {
     auto engines = engines_at(2, 1);
     engines[0].leaving = true;
-    const auto actions = plan_wave(engines, 2, wave_weight::staleness, start);
+    const auto actions = plan_wave(engines, 2, wave_strategy::staleness, start);
     EXPECT_EQ(actions.order, std::vector<std::string>{"1"});
-    EXPECT_TRUE(plan_wave({engines[0]}, 2, wave_weight::staleness, start).order.empty());
+    EXPECT_TRUE(plan_wave({engines[0]}, 2, wave_strategy::staleness, start).order.empty());
 }
 
 // Half of a wave fails to load. The others must go on, and the failed ones come again: left out, they would
@@ -61,35 +61,35 @@
     auto engines = engines_at(2, 1);
     engines[0].failures = 1;
     engines[0].failed_at = start;
-    EXPECT_EQ(plan_wave(engines, 2, wave_weight::staleness, start).order, std::vector<std::string>{"1"});
+    EXPECT_EQ(plan_wave(engines, 2, wave_strategy::staleness, start).order, std::vector<std::string>{"1"});
     engines[1].version = 2;
-    EXPECT_TRUE(plan_wave(engines, 2, wave_weight::staleness, start + milliseconds{200}).order.empty());
-    EXPECT_EQ(plan_wave(engines, 2, wave_weight::staleness, start + milliseconds{250}).order.size(), 1U);
+    EXPECT_TRUE(plan_wave(engines, 2, wave_strategy::staleness, start + milliseconds{200}).order.empty());
+    EXPECT_EQ(plan_wave(engines, 2, wave_strategy::staleness, start + milliseconds{250}).order.size(), 1U);
     engines[0].failures = 3;
-    EXPECT_TRUE(plan_wave(engines, 2, wave_weight::staleness, start + milliseconds{900}).order.empty());
-    EXPECT_EQ(plan_wave(engines, 2, wave_weight::staleness, start + milliseconds{1000}).order.size(), 1U);
+    EXPECT_TRUE(plan_wave(engines, 2, wave_strategy::staleness, start + milliseconds{900}).order.empty());
+    EXPECT_EQ(plan_wave(engines, 2, wave_strategy::staleness, start + milliseconds{1000}).order.size(), 1U);
 }
 
 TEST(wave_plan, orders_an_engine_again_that_comes_back_with_old_weights)
 {
     auto engines = engines_at(2, 5);
-    EXPECT_TRUE(plan_wave(engines, 5, wave_weight::idle, start).order.empty());
+    EXPECT_TRUE(plan_wave(engines, 5, wave_strategy::idle, start).order.empty());
     engines[1].version = 1;
-    EXPECT_EQ(plan_wave(engines, 5, wave_weight::idle, start).order, std::vector<std::string>{"1"});
+    EXPECT_EQ(plan_wave(engines, 5, wave_strategy::idle, start).order, std::vector<std::string>{"1"});
 }
 
 TEST(wave_plan, of_the_baseline_drains_all_before_it_loads_all)
 {
     auto engines = engines_at(4, 1);
-    auto actions = plan_wave(engines, 2, wave_weight::drain_all, start);
+    auto actions = plan_wave(engines, 2, wave_strategy::drain_all, start);
     EXPECT_TRUE(actions.hold_new_work);
     EXPECT_TRUE(actions.order.empty());
     for (auto& engine : engines) {
         engine.in_flight = 0;
     }
-    actions = plan_wave(engines, 2, wave_weight::drain_all, start);
+    actions = plan_wave(engines, 2, wave_strategy::drain_all, start);
     EXPECT_EQ(actions.order.size(), 4U);
-    EXPECT_FALSE(plan_wave(engines_at(4, 2), 2, wave_weight::drain_all, start).hold_new_work);
+    EXPECT_FALSE(plan_wave(engines_at(4, 2), 2, wave_strategy::drain_all, start).hold_new_work);
 }
 
 } // namespace
--- a/tests/policy/load_plan_tests.cpp
+++ b/tests/policy/weight_load_plan_tests.cpp
@@ -1,4 +1,4 @@
-#include "policy/load_plan.hpp"
+#include "policy/weight_load_plan.hpp"
 
 #include <gtest/gtest.h>
 
@@ -7,9 +7,9 @@
 namespace vanillagauge::policy {
 namespace {
 
-std::vector<load_engine> make_engines(std::size_t count, std::uint64_t version)
+std::vector<model_engine> make_engines(std::size_t count, std::uint64_t version)
 {
-    std::vector<load_engine> engines(count);
+    std::vector<model_engine> engines(count);
     for (std::size_t place = 0; place < count; ++place) {
         engines[place].id = "e" + std::to_string(place);
         engines[place].versions = {{"m", version}, {"n", version}};
@@ -20,7 +20,7 @@
 // Two trainers name versions every four seconds for two models on nine engines; a load takes a second, two at
 // a time. Each model must reach the version before the newest on some engine in time, or its trainer stands
 // still.
-TEST(plan_loads, keeps_both_models_fresh_on_engines_that_they_share)
+TEST(plan_weight_loads, keeps_both_models_fresh_on_engines_that_they_share)
 {
     auto engines = make_engines(9, 1);
     std::map<std::string, std::uint64_t> newest{{"m", 1}, {"n", 1}};
@@ -30,7 +30,7 @@
             ++newest["m"];
             ++newest["n"];
         }
-        for (const auto& next : plan_loads(engines, newest)) {
+        for (const auto& next : plan_weight_loads(engines, newest)) {
             for (auto& engine : engines) {
                 if (engine.id == next.engine) {
                     engine.versions[next.model] = next.version;
@@ -39,10 +39,11 @@
             }
         }
         for (const auto& [model, version] : newest) {
-            const auto fresh = std::count_if(engines.begin(), engines.end(),
-                                             [&, wanted = version, &name = model](const load_engine& engine) {
-                                                 return engine.versions.at(name) + 1 >= wanted;
-                                             });
+            const auto fresh =
+                std::count_if(engines.begin(), engines.end(),
+                              [&, wanted = version, &name = model](const model_engine& engine) {
+                                  return engine.versions.at(name) + 1 >= wanted;
+                              });
             EXPECT_GE(fresh, 4) << model << " at second " << second;
         }
     }
@@ -50,33 +51,33 @@
     EXPECT_LE(loads, 90);
 }
 
-TEST(plan_loads, loads_a_fifth_of_the_engines_at_once_but_two_at_least)
+TEST(plan_weight_loads, loads_a_fifth_of_the_engines_at_once_but_two_at_least)
 {
     const std::map<std::string, std::uint64_t> newest{{"m", 2}};
-    EXPECT_EQ(plan_loads(make_engines(9, 1), newest).size(), 2U);
-    EXPECT_EQ(plan_loads(make_engines(48, 1), newest).size(), 9U);
+    EXPECT_EQ(plan_weight_loads(make_engines(9, 1), newest).size(), 2U);
+    EXPECT_EQ(plan_weight_loads(make_engines(48, 1), newest).size(), 9U);
     auto engines = make_engines(9, 1);
     engines[0].loading = true;
-    EXPECT_EQ(plan_loads(engines, newest).size(), 1U);
+    EXPECT_EQ(plan_weight_loads(engines, newest).size(), 1U);
 }
 
-TEST(plan_loads, loads_the_engines_furthest_behind_first)
+TEST(plan_weight_loads, loads_the_engines_furthest_behind_first)
 {
     auto engines = make_engines(3, 4);
     engines[1].versions["m"] = 2;
     const std::map<std::string, std::uint64_t> newest{{"m", 5}};
-    EXPECT_EQ(plan_loads(engines, newest).front(), (planned_load{"e1", "m", 5}));
+    EXPECT_EQ(plan_weight_loads(engines, newest).front(), (weight_load{"e1", "m", 5}));
 }
 
-TEST(plan_loads, leaves_engines_alone_that_rest_or_are_up_to_date)
+TEST(plan_weight_loads, leaves_engines_alone_that_rest_or_are_up_to_date)
 {
     auto engines = make_engines(2, 5);
     const std::map<std::string, std::uint64_t> newest{{"m", 5}};
-    EXPECT_TRUE(plan_loads(engines, newest).empty());
+    EXPECT_TRUE(plan_weight_loads(engines, newest).empty());
     engines[0].versions["m"] = 4;
-    engines[0].resting = true;
-    EXPECT_TRUE(plan_loads(engines, newest).empty());
-    EXPECT_TRUE(plan_loads(engines, {}).empty());
+    engines[0].backing_off = true;
+    EXPECT_TRUE(plan_weight_loads(engines, newest).empty());
+    EXPECT_TRUE(plan_weight_loads(engines, {}).empty());
 }
 
 } // namespace
