--- a/src/gateway/batch_runner_placement.cpp
+++ b/src/gateway/batch_runner_placement.cpp
@@ -19,7 +19,7 @@
     for (const auto& engine : engines) {
         gaps.push_back(engine->piece_gap_ms);
     }
-    return policy::slow_gap(std::move(gaps));
+    return policy::slow_gap_threshold(std::move(gaps));
 }
 
 std::uint64_t prompt_hash(const batch_item& item)
@@ -91,7 +91,7 @@
         }
         policy::sample_view sample;
         sample.prefix_hash = prompt_hash(entry.item);
-        sample.least_version = progress.header().least_version;
+        sample.min_version = progress.header().least_version;
         sample.avoid = entry.avoid;
         auto chosen = policy::place_sample(fast, sample);
         if (!chosen) {
--- a/src/gateway/forwarder.cpp
+++ b/src/gateway/forwarder.cpp
@@ -1,6 +1,6 @@
 #include "gateway/internal/forwarded_call.hpp"
 #include "observe/log.hpp"
-#include "policy/background_places.hpp"
+#include "policy/background_capacity.hpp"
 
 #include <algorithm>
 
@@ -58,7 +58,7 @@
         const auto slots = replicas.front()->info.slots;
         policy::pool_options options{.limited = true, .initial_limit = std::max(slots, 1)};
         if (current.own()) {
-            options.initial_limit = policy::background_places(slots);
+            options.initial_limit = policy::background_capacity(slots);
             options.adaptive = false;
         }
         const auto patience =
@@ -145,9 +145,9 @@
 
 bool forwarder::may_take(const call& current) const
 {
-    const auto form =
-        current.chosen.kind == route_kind::stream ? policy::answer_form::stream : policy::answer_form::whole;
-    return current.own() || stop_->takes(current.request.arrived, current.deadline, form);
+    const auto form = current.chosen.kind == route_kind::stream ? policy::response_kind::stream
+                                                                : policy::response_kind::complete;
+    return current.own() || stop_->accepts(current.request.arrived, current.deadline, form);
 }
 
 net::task<forwarder::attempt_outcome> forwarder::run(call& current)
--- a/src/policy/background_places.cpp
+++ b/src/policy/background_capacity.cpp
@@ -1,4 +1,4 @@
-#include "policy/background_places.hpp"
+#include "policy/background_capacity.hpp"
 
 #include <algorithm>
 
@@ -13,7 +13,7 @@
 // Load pattern: the texts of a step become whole within a second or two, and each then wants a long call to a
 // service whose callers want short ones. Without a bound the calls fill every slot of the service, and a
 // caller that is due in a fraction of one call waits behind several of them.
-int background_places(int slots)
+int background_capacity(int slots)
 {
     return std::max(1, slots / gateway_share);
 }
--- a/src/policy/engine_speed.cpp
+++ b/src/policy/engine_speed.cpp
@@ -15,7 +15,7 @@
 // Load pattern: long items among short ones on engines of two speeds. A step is as late as its longest item,
 // which on a slow engine alone takes longer than the step may. The fast quarter sets the measure, so that
 // many slow engines at once do not make themselves the rule.
-double slow_gap(std::vector<double> gaps)
+double slow_gap_threshold(std::vector<double> gaps)
 {
     std::erase_if(gaps, [](double gap) { return gap <= 0; });
     if (gaps.size() < least_known) {
--- a/src/policy/engine_speed.hpp
+++ b/src/policy/engine_speed.hpp
@@ -8,7 +8,7 @@
 
 /// The mean time between two events of one run, in milliseconds, above which an engine is slow; `gaps` are
 /// the engines' own, 0 where not known. 0: too little is known to call any slow.
-double slow_gap(std::vector<double> gaps);
+double slow_gap_threshold(std::vector<double> gaps);
 
 } // namespace vanillagauge::policy
 
--- a/src/policy/latency_quantile.cpp
+++ b/src/policy/latency_quantile.cpp
@@ -14,11 +14,11 @@
 void latency_quantile::add(duration latency)
 {
     const std::chrono::duration<double, std::nano> seen(latency);
-    if (!known()) {
+    if (!has_value()) {
         value_ = seen;
         return;
     }
-    const double move = seen > value_ ? share_ : share_ - 1.0;
+    const double move = seen > value_ ? quantile_ : quantile_ - 1.0;
     value_ *= 1.0 + step * move;
 }
 
--- a/src/policy/latency_quantile.hpp
+++ b/src/policy/latency_quantile.hpp
@@ -8,17 +8,17 @@
 
 class latency_quantile {
 public:
-    /// `share` between 0 and 1: 0.5 tracks the median.
-    explicit latency_quantile(double share) : share_(share) {}
+    /// `quantile` between 0 and 1: 0.5 tracks the median.
+    explicit latency_quantile(double quantile) : quantile_(quantile) {}
 
     void add(duration latency);
 
     /// Zero before the first latency.
     duration value() const { return std::chrono::duration_cast<duration>(value_); }
-    bool known() const { return value_.count() > 0; }
+    bool has_value() const { return value_.count() > 0; }
 
 private:
-    double share_;
+    double quantile_;
     std::chrono::duration<double, std::nano> value_{0};
 };
 
--- a/src/policy/load_hint.cpp
+++ b/src/policy/load_hint.cpp
@@ -25,22 +25,22 @@
         return;
     }
     const int load = std::max(0, report.running) + std::max(0, report.waiting);
-    queue_seen_ = load > report.capacity;
-    const double wanted = queue_seen_ ? static_cast<double>(report.capacity) / load : 1.0;
+    queueing_ = load > report.capacity;
+    const double wanted = queueing_ ? static_cast<double>(report.capacity) / load : 1.0;
     const double from = weight(now);
     weight_ = std::clamp(wanted, from - most_shift, from + most_shift);
     weight_ = std::clamp(weight_, least_weight, 1.0);
-    taken_at_ = now - report.age;
+    measured_at_ = now - report.age;
 }
 
 double load_hint::weight(time_point now) const
 {
-    return now - taken_at_ > report_life ? 1.0 : weight_;
+    return now - measured_at_ > report_life ? 1.0 : weight_;
 }
 
 bool load_hint::may_grow(time_point now) const
 {
-    return !queue_seen_ || now - taken_at_ > report_life;
+    return !queueing_ || now - measured_at_ > report_life;
 }
 
 } // namespace vanillagauge::policy
--- a/src/policy/load_hint.hpp
+++ b/src/policy/load_hint.hpp
@@ -24,8 +24,8 @@
 
 private:
     double weight_ = 1;
-    bool queue_seen_ = false;
-    time_point taken_at_;
+    bool queueing_ = false;
+    time_point measured_at_;
 };
 
 } // namespace vanillagauge::policy
--- a/src/policy/outlier_ejection.hpp
+++ b/src/policy/outlier_ejection.hpp
@@ -10,10 +10,10 @@
 
 /// One target's record.
 struct target_health {
-    int bad_in_row = 0;
-    time_point last_bad{};
-    int ejections = 0; ///< in a row, without a good spell between them
-    time_point out_until;
+    int consecutive_failures = 0;
+    time_point last_failure{};
+    int consecutive_ejections = 0; ///< in a row, without a good spell between them
+    time_point ejected_until;
 };
 
 /// The group's count of ejected targets and the bound on it.
@@ -24,18 +24,18 @@
     /// Ejects without waiting for a row of failures: the target itself said that it is stopping.
     bool eject(target_health& target, std::size_t group_size, time_point now);
     /// Whether the target is out; the first question after its time takes it back.
-    bool is_out(target_health& target, time_point now);
-    void forget(target_health& target);
+    bool is_ejected(target_health& target, time_point now);
+    void reinstate(target_health& target);
 
-    std::size_t out() const { return out_; }
+    std::size_t ejected() const { return ejected_; }
 
 private:
-    std::size_t out_ = 0;
+    std::size_t ejected_ = 0;
 };
 
 /// Whether the target just failed several times in a row. It is not out: work goes there that finds no room
 /// elsewhere, and after a while one request to see whether it has recovered.
-bool is_doubtful(const target_health& target, time_point now);
+bool failed_recently(const target_health& target, time_point now);
 
 /// Whether an answer counts as bad for being slow.
 bool is_slow(duration latency, duration group_median);
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -18,8 +18,8 @@
 // of all sends every node to the same target until its figures change; two random choices spread them and
 // still avoid a slow target. A third choice adds little. A walk from a random place finds the two, so the
 // cost is the same for 20 targets and 6,500.
-std::optional<std::size_t> place_among(const std::vector<std::size_t>& places, const is_usable& usable,
-                                       const load_of& load, std::mt19937_64& random)
+std::optional<std::size_t> place_two_choices(const std::vector<std::size_t>& places, const is_usable& usable,
+                                             const load_of& load, std::mt19937_64& random)
 {
     if (places.empty()) {
         return std::nullopt;
--- a/src/policy/policy.hpp
+++ b/src/policy/policy.hpp
@@ -2,7 +2,7 @@
 #ifndef VANILLAGAUGE_POLICY_POLICY_HPP
 #define VANILLAGAUGE_POLICY_POLICY_HPP
 
-#include "policy/background_places.hpp"
+#include "policy/background_capacity.hpp"
 #include "policy/concurrency_limit.hpp"
 #include "policy/engine_speed.hpp"
 #include "policy/fair_queue.hpp"
--- a/src/policy/step_placement.cpp
+++ b/src/policy/step_placement.cpp
@@ -12,17 +12,17 @@
 /// Below this share of its limit an engine runs at full speed, whatever the mean is.
 constexpr int free_share = 4;
 
-bool would_do(const engine_view& engine, const sample_view& sample)
+bool is_eligible(const engine_view& engine, const sample_view& sample)
 {
-    const bool fresh = engine.version >= sample.least_version;
+    const bool fresh = engine.version >= sample.min_version;
     return engine.usable && fresh && engine.in_flight < engine.limit && engine.id != sample.avoid;
 }
 
-std::vector<std::size_t> fitting(const std::vector<engine_view>& engines, const sample_view& sample)
+std::vector<std::size_t> eligible_engines(const std::vector<engine_view>& engines, const sample_view& sample)
 {
     std::vector<std::size_t> found;
     for (std::size_t place = 0; place < engines.size(); ++place) {
-        if (would_do(engines[place], sample)) {
+        if (is_eligible(engines[place], sample)) {
             found.push_back(place);
         }
     }
@@ -39,7 +39,7 @@
     return load_bound * sum / static_cast<double>(usable.size());
 }
 
-std::uint64_t affinity(const engine_view& engine, std::uint64_t prefix_hash)
+std::uint64_t rendezvous_score(const engine_view& engine, std::uint64_t prefix_hash)
 {
     return hash64(engine.id, prefix_hash);
 }
@@ -54,7 +54,7 @@
 // Ranks need no cache events, which come late and with gaps.
 std::optional<std::size_t> place_sample(const std::vector<engine_view>& engines, const sample_view& sample)
 {
-    const auto usable = fitting(engines, sample);
+    const auto usable = eligible_engines(engines, sample);
     if (usable.empty()) {
         return std::nullopt;
     }
@@ -63,8 +63,8 @@
     for (const auto place : usable) {
         const int load = engines[place].in_flight + 1;
         const bool allowed = load <= bound || load * free_share <= engines[place].limit;
-        if (allowed && (!best || affinity(engines[place], sample.prefix_hash) >
-                                     affinity(engines[*best], sample.prefix_hash))) {
+        if (allowed && (!best || rendezvous_score(engines[place], sample.prefix_hash) >
+                                     rendezvous_score(engines[*best], sample.prefix_hash))) {
             best = place;
         }
     }
@@ -76,12 +76,12 @@
     });
 }
 
-std::optional<std::size_t> place_in_turn(const std::vector<engine_view>& engines, const sample_view& sample,
-                                         std::size_t turn)
+std::optional<std::size_t> place_round_robin(const std::vector<engine_view>& engines,
+                                             const sample_view& sample, std::size_t turn)
 {
     for (std::size_t step = 0; step < engines.size(); ++step) {
         const std::size_t place = (turn + step) % engines.size();
-        if (would_do(engines[place], sample)) {
+        if (is_eligible(engines[place], sample)) {
             return place;
         }
     }
--- a/src/policy/step_placement.hpp
+++ b/src/policy/step_placement.hpp
@@ -20,7 +20,7 @@
 
 struct sample_view {
     std::uint64_t prefix_hash = 0; ///< of the prompt, which a whole group shares
-    std::uint64_t least_version = 0;
+    std::uint64_t min_version = 0;
     std::string avoid; ///< an engine not to use, for a sample that left it
 };
 
@@ -28,8 +28,8 @@
 std::optional<std::size_t> place_sample(const std::vector<engine_view>& engines, const sample_view& sample);
 
 /// The plain baseline: the next engine with room, in turn.
-std::optional<std::size_t> place_in_turn(const std::vector<engine_view>& engines, const sample_view& sample,
-                                         std::size_t turn);
+std::optional<std::size_t> place_round_robin(const std::vector<engine_view>& engines,
+                                             const sample_view& sample, std::size_t turn);
 
 /// The most streams of a job beside others, by weight; at least one.
 int job_share(int all_places, int weight, int all_weights);
--- a/src/policy/stop_plan.cpp
+++ b/src/policy/stop_plan.cpp
@@ -41,7 +41,7 @@
 
 // A process that is not busy may be given work a moment later, so it ends only from a step in which it takes
 // none: what it has taken is over by then.
-stop_step stop_plan::next(time_point now, const open_work& open)
+stop_step stop_plan::advance(time_point now, const open_work& open)
 {
     const bool busy = open.requests > 0 || open.batches > 0;
     const bool holds_any = busy || open.connections > 0;
@@ -59,9 +59,9 @@
     return step_;
 }
 
-bool stop_plan::takes(time_point now, time_point deadline, answer_form form) const
+bool stop_plan::accepts(time_point now, time_point deadline, response_kind form) const
 {
-    const auto latest = form == answer_form::whole ? answer_by_ : callers_know_;
+    const auto latest = form == response_kind::complete ? answer_by_ : callers_know_;
     return deadline <= give_up_at_ || now < latest;
 }
 
--- a/src/policy/stop_plan.hpp
+++ b/src/policy/stop_plan.hpp
@@ -27,7 +27,7 @@
 };
 
 /// A stream that ends with the process is cut; of a whole answer at least its failure can be told.
-enum class answer_form { whole, stream };
+enum class response_kind { complete, stream };
 
 class stop_plan {
 public:
@@ -35,9 +35,9 @@
     stop_plan(time_point began, milliseconds grace);
 
     /// The step from now on, asked again and again.
-    stop_step next(time_point now, const open_work& open);
+    stop_step advance(time_point now, const open_work& open);
     /// Whether a request that arrives now may be taken.
-    bool takes(time_point now, time_point deadline, answer_form form) const;
+    bool accepts(time_point now, time_point deadline, response_kind form) const;
 
 private:
     time_point callers_know_;
--- a/src/policy/straggler.cpp
+++ b/src/policy/straggler.cpp
@@ -16,7 +16,7 @@
 
 double rate(const stream_view& stream)
 {
-    const double ran = std::chrono::duration<double>(stream.running).count();
+    const double ran = std::chrono::duration<double>(stream.elapsed).count();
     return ran > 0 ? stream.tokens / ran : 0;
 }
 
@@ -30,19 +30,19 @@
 // another engine at the same speed, so only a rate below half of the median counts: closer to the median, the
 // copy seldom catches up and its tokens are wasted. Racing waits for the last quarter of the step, when
 // engines have room.
-std::vector<straggler_decision> stragglers(const step_view& step)
+std::vector<straggler_decision> find_stragglers(const step_view& step)
 {
     std::vector<straggler_decision> chosen;
     const bool near_end = step.filled * 2 >= step.slots * near_end_halves;
     const double slow = slow_share * step.typical_rate;
     for (const auto& stream : step.streams) {
-        if (stream.scoring || stream.raced || chosen.size() >= step.free_places) {
+        if (stream.scoring || stream.raced || chosen.size() >= step.free_capacity) {
             continue;
         }
-        if (stream.silent >= longest_silence) {
+        if (stream.since_last_chunk >= longest_silence) {
             chosen.push_back({stream.attempt, straggler_action::resume});
         }
-        else if (near_end && stream.running >= least_history && rate(stream) < slow) {
+        else if (near_end && stream.elapsed >= least_history && rate(stream) < slow) {
             chosen.push_back({stream.attempt, straggler_action::race});
         }
     }
--- a/src/policy/straggler.hpp
+++ b/src/policy/straggler.hpp
@@ -12,10 +12,10 @@
 
 struct stream_view {
     std::uint64_t attempt = 0;
-    int tokens = 0;     ///< made by this stream
-    duration running{}; ///< since it started
-    duration silent{};  ///< since its last chunk
-    bool raced = false; ///< another stream of its slot runs
+    int tokens = 0;              ///< made by this stream
+    duration elapsed{};          ///< since it started
+    duration since_last_chunk{}; ///< since its last chunk
+    bool raced = false;          ///< another stream of its slot runs
     bool scoring = false;
 };
 
@@ -29,12 +29,12 @@
 struct step_view {
     std::size_t slots = 0;
     std::size_t filled = 0;
-    std::size_t free_places = 0; ///< at engines that would do
-    double typical_rate = 0;     ///< tokens a second of streams that ended whole lately; 0: not known
+    std::size_t free_capacity = 0; ///< at engines that would do
+    double typical_rate = 0;       ///< tokens a second of streams that ended whole lately; 0: not known
     std::vector<stream_view> streams;
 };
 
-std::vector<straggler_decision> stragglers(const step_view& step);
+std::vector<straggler_decision> find_stragglers(const step_view& step);
 
 } // namespace vanillagauge::policy
 
--- a/src/policy/target_pool.cpp
+++ b/src/policy/target_pool.cpp
@@ -25,44 +25,44 @@
     std::vector<record> next;
     next.reserve(targets.size());
     for (const auto& target : targets) {
-        next.push_back(merged(target, now));
+        next.push_back(updated_record(target, now));
     }
     // What was not taken over leaves the counts with it.
-    for (auto& [id, place] : places_) {
+    for (auto& [id, place] : index_by_id_) {
         auto& gone = entries_[place];
         if (gone.target.id == id) {
-            ejection_.forget(gone.health);
+            ejection_.reinstate(gone.health);
             total_in_flight_ -= gone.in_flight;
         }
     }
     entries_ = std::move(next);
-    filled_ = true;
-    index();
+    populated_ = true;
+    rebuild_index();
 }
 
-target_pool::record target_pool::merged(const pool_target& target, time_point now)
+target_pool::record target_pool::updated_record(const pool_target& target, time_point now)
 {
-    const auto held = places_.find(target.id);
-    if (held == places_.end()) {
+    const auto held = index_by_id_.find(target.id);
+    if (held == index_by_id_.end()) {
         record added{target, concurrency_limit(options_.initial_limit)};
-        added.joined = filled_ ? now : time_point{};
+        added.joined = populated_ ? now : time_point{};
         return added;
     }
     record kept = std::move(entries_[held->second]);
-    places_.erase(held);
+    index_by_id_.erase(held);
     kept.target = target;
     return kept;
 }
 
-void target_pool::index()
+void target_pool::rebuild_index()
 {
-    places_.clear();
+    index_by_id_.clear();
     usable_.clear();
     by_domain_.clear();
     std::vector<std::pair<std::string, std::size_t>> on_ring;
     for (std::size_t place = 0; place < entries_.size(); ++place) {
         const auto& target = entries_[place].target;
-        places_[target.id] = place;
+        index_by_id_[target.id] = place;
         if (!target.leaving) {
             usable_.push_back(place);
             by_domain_[target.failure_domain].push_back(place);
@@ -74,7 +74,7 @@
 
 std::optional<std::string> target_pool::acquire(const work& item, time_point now)
 {
-    const auto chosen = options_.limited ? choose(item, now) : choose_in_turn(item);
+    const auto chosen = options_.limited ? choose(item, now) : choose_round_robin(item);
     if (!chosen) {
         return std::nullopt;
     }
@@ -86,8 +86,8 @@
 
 void target_pool::release(const std::string& id, const attempt_report& report, time_point now)
 {
-    const auto found = places_.find(id);
-    if (found == places_.end()) {
+    const auto found = index_by_id_.find(id);
+    if (found == index_by_id_.end()) {
         return;
     }
     auto& entry = entries_[found->second];
@@ -103,7 +103,7 @@
     if (report.kind == attempt_result::answered) {
         const bool slow = is_slow(report.latency, median_.value());
         median_.add(report.latency);
-        high_.add(report.latency);
+        p95_.add(report.latency);
         entry.median.add(report.latency);
         entry.limit.on_answer(report.latency, in_flight, entry.hint.may_grow(now), now);
         out = ejection_.on_answer(entry.health, !slow, usable_.size(), now);
@@ -116,57 +116,57 @@
         out = ejection_.eject(entry.health, usable_.size(), now);
     }
     if (out) {
-        entry.joined = entry.health.out_until; // it comes back by a slow start
+        entry.joined = entry.health.ejected_until; // it comes back by a slow start
     }
 }
 
 void target_pool::on_report(const std::string& id, const load_report& report, time_point now)
 {
-    const auto found = places_.find(id);
-    if (found != places_.end()) {
+    const auto found = index_by_id_.find(id);
+    if (found != index_by_id_.end()) {
         entries_[found->second].hint.on_report(report, now);
     }
 }
 
 int target_pool::in_flight(const std::string& id) const
 {
-    const auto found = places_.find(id);
-    return found == places_.end() ? 0 : entries_[found->second].in_flight;
+    const auto found = index_by_id_.find(id);
+    return found == index_by_id_.end() ? 0 : entries_[found->second].in_flight;
 }
 
 int target_pool::limit(const std::string& id, time_point now) const
 {
-    const auto found = places_.find(id);
-    return found == places_.end() ? 0 : allowed(entries_[found->second], now);
+    const auto found = index_by_id_.find(id);
+    return found == index_by_id_.end() ? 0 : effective_limit(entries_[found->second], now);
 }
 
 duration target_pool::hedge_delay() const
 {
-    if (!high_.known()) {
+    if (!p95_.has_value()) {
         return first_hedge_delay;
     }
-    return std::max<duration>(hedge_factor * high_.value(), least_hedge_delay);
+    return std::max<duration>(hedge_factor * p95_.value(), least_hedge_delay);
 }
 
-int target_pool::allowed(const record& item, time_point now) const
+int target_pool::effective_limit(const record& item, time_point now) const
 {
     const double share = item.hint.weight(now) * slow_start_share(item.joined, now);
     const int limit = options_.adaptive ? item.limit.limit() : options_.initial_limit;
     return std::max(1, static_cast<int>(limit * share));
 }
 
-bool target_pool::takes(std::size_t place, const work& item, time_point now)
+bool target_pool::has_room_for(std::size_t place, const work& item, time_point now)
 {
     auto& entry = entries_[place];
-    const bool room = entry.in_flight < allowed(entry, now);
-    return room && !ejection_.is_out(entry.health, now) && !item.tried.contains(entry.target.id);
+    const bool room = entry.in_flight < effective_limit(entry, now);
+    return room && !ejection_.is_ejected(entry.health, now) && !item.tried.contains(entry.target.id);
 }
 
 double target_pool::cost(std::size_t place, time_point now) const
 {
     const auto& entry = entries_[place];
-    const double use = (entry.in_flight + 1.0) / allowed(entry, now);
-    if (!entry.median.known() || !median_.known()) {
+    const double use = (entry.in_flight + 1.0) / effective_limit(entry, now);
+    if (!entry.median.has_value() || !median_.has_value()) {
         return use;
     }
     const auto relative =
@@ -182,25 +182,25 @@
         }
     }
     const auto sound = [&](std::size_t place) {
-        return takes(place, item, now) && !is_doubtful(entries_[place].health, now);
+        return has_room_for(place, item, now) && !failed_recently(entries_[place].health, now);
     };
-    if (const auto chosen = choose_where(sound, item, now)) {
+    if (const auto chosen = choose_usable(sound, item, now)) {
         return chosen;
     }
-    return choose_where([&](std::size_t place) { return takes(place, item, now); }, item, now);
+    return choose_usable([&](std::size_t place) { return has_room_for(place, item, now); }, item, now);
 }
 
-std::optional<std::size_t> target_pool::choose_where(const std::function<bool(std::size_t)>& usable,
-                                                     const work& item, time_point now)
+std::optional<std::size_t> target_pool::choose_usable(const std::function<bool(std::size_t)>& usable,
+                                                      const work& item, time_point now)
 {
     const auto load = [&](std::size_t place) { return cost(place, now); };
     const auto near = by_domain_.find(item.near_domain);
     if (near != by_domain_.end()) {
-        if (const auto chosen = place_among(near->second, usable, std::ref(load), random_)) {
+        if (const auto chosen = place_two_choices(near->second, usable, std::ref(load), random_)) {
             return chosen;
         }
     }
-    return place_among(usable_, usable, std::ref(load), random_);
+    return place_two_choices(usable_, usable, std::ref(load), random_);
 }
 
 std::optional<std::size_t> target_pool::choose_cached(const work& item, time_point now)
@@ -210,17 +210,17 @@
     const double bound = std::ceil(prefix_load_bound * mean);
     for (std::size_t choice = 0; choice < prefix_choices; ++choice) {
         const auto place = ring_.at(item.prefix, choice);
-        if (place && entries_[*place].in_flight + 1 <= bound && takes(*place, item, now)) {
+        if (place && entries_[*place].in_flight + 1 <= bound && has_room_for(*place, item, now)) {
             return place;
         }
     }
     return std::nullopt;
 }
 
-std::optional<std::size_t> target_pool::choose_in_turn(const work& item)
+std::optional<std::size_t> target_pool::choose_round_robin(const work& item)
 {
     for (std::size_t tries = 0; tries < usable_.size(); ++tries) {
-        const auto place = usable_[next_in_turn_++ % usable_.size()];
+        const auto place = usable_[round_robin_next_++ % usable_.size()];
         if (!item.tried.contains(entries_[place].target.id)) {
             return place;
         }
--- a/src/policy/target_pool.hpp
+++ b/src/policy/target_pool.hpp
@@ -60,7 +60,7 @@
 
     // Queries.
     std::size_t size() const { return usable_.size(); }
-    std::size_t ejected() const { return ejection_.out(); }
+    std::size_t ejected() const { return ejection_.ejected(); }
     int in_flight(const std::string& id) const;
     int in_flight() const { return total_in_flight_; }
     int limit(const std::string& id, time_point now) const;
@@ -80,26 +80,26 @@
 
     std::mt19937_64 random_;
     pool_options options_;
-    bool filled_ = false;
-    std::map<std::string, std::size_t> places_;
+    bool populated_ = false;
+    std::map<std::string, std::size_t> index_by_id_;
     std::vector<record> entries_;
     std::vector<std::size_t> usable_; ///< not leaving
     std::unordered_map<std::string, std::vector<std::size_t>> by_domain_;
     prefix_ring ring_;
     int total_in_flight_ = 0;
-    std::size_t next_in_turn_ = 0;
+    std::size_t round_robin_next_ = 0;
     outlier_ejection ejection_;
     latency_quantile median_{0.5};
-    latency_quantile high_{0.95};
+    latency_quantile p95_{0.95};
 
-    void index();
-    record merged(const pool_target& target, time_point now);
-    int allowed(const record& item, time_point now) const;
-    bool takes(std::size_t place, const work& item, time_point now);
+    void rebuild_index();
+    record updated_record(const pool_target& target, time_point now);
+    int effective_limit(const record& item, time_point now) const;
+    bool has_room_for(std::size_t place, const work& item, time_point now);
     std::optional<std::size_t> choose(const work& item, time_point now);
-    std::optional<std::size_t> choose_in_turn(const work& item);
-    std::optional<std::size_t> choose_where(const std::function<bool(std::size_t)>& usable, const work& item,
-                                            time_point now);
+    std::optional<std::size_t> choose_round_robin(const work& item);
+    std::optional<std::size_t> choose_usable(const std::function<bool(std::size_t)>& usable, const work& item,
+                                             time_point now);
     std::optional<std::size_t> choose_cached(const work& item, time_point now);
     double cost(std::size_t place, time_point now) const;
 };
--- a/src/rollout/engine_pool.cpp
+++ b/src/rollout/engine_pool.cpp
@@ -42,7 +42,7 @@
     const std::lock_guard lock(mutex_);
     const auto engines = views(now);
     const auto chosen =
-        in_turn ? policy::place_in_turn(engines, sample, turn_++) : policy::place_sample(engines, sample);
+        in_turn ? policy::place_round_robin(engines, sample, turn_++) : policy::place_sample(engines, sample);
     if (!chosen) {
         return std::nullopt;
     }
--- a/src/rollout/recorded_job.cpp
+++ b/src/rollout/recorded_job.cpp
@@ -139,7 +139,7 @@
 
 std::vector<policy::straggler_decision> recorded_job::stragglers(std::size_t free_places, time_point now)
 {
-    auto chosen = policy::stragglers(step_view_of(state_, free_places, now));
+    auto chosen = policy::find_stragglers(step_view_of(state_, free_places, now));
     if (!chosen.empty() && log_.on()) {
         json all = json::array();
         for (const auto& decision : chosen) {
--- a/tests/policy/step_placement_tests.cpp
+++ b/tests/policy/step_placement_tests.cpp
@@ -59,9 +59,9 @@
                                      {"loading", 0, 4, 3, false},
                                      {"left", 0, 4, 3, true}};
     EXPECT_FALSE(place_sample(engines, {1, 2, "left"}).has_value());
-    EXPECT_FALSE(place_in_turn(engines, {1, 2, "left"}, 1).has_value());
+    EXPECT_FALSE(place_round_robin(engines, {1, 2, "left"}, 1).has_value());
     EXPECT_EQ(place_sample(engines, {1, 2, {}}), 3U);
-    EXPECT_EQ(place_in_turn(engines, {1, 2, {}}, 0), 3U);
+    EXPECT_EQ(place_round_robin(engines, {1, 2, {}}, 0), 3U);
 }
 
 TEST(job_share, follows_weights_and_leaves_every_job_a_place)
--- a/tests/policy/stop_plan_tests.cpp
+++ b/tests/policy/stop_plan_tests.cpp
@@ -17,79 +17,80 @@
 TEST(stop_plan, ends_only_after_a_step_that_takes_nothing)
 {
     stop_plan plan(began, grace);
-    EXPECT_EQ(plan.next(began + seconds(3), {}), stop_step::finish);
-    EXPECT_EQ(plan.next(began + seconds(3), requests(1)), stop_step::finish);
-    EXPECT_EQ(plan.next(began + seconds(3), {}), stop_step::end);
+    EXPECT_EQ(plan.advance(began + seconds(3), {}), stop_step::finish);
+    EXPECT_EQ(plan.advance(began + seconds(3), requests(1)), stop_step::finish);
+    EXPECT_EQ(plan.advance(began + seconds(3), {}), stop_step::end);
 }
 
 // Guards against callers with a kept address that find nobody.
 TEST(stop_plan, serves_on_while_callers_may_keep_the_address)
 {
     stop_plan plan(began, grace);
-    EXPECT_EQ(plan.next(began + seconds(2), {}), stop_step::serve);
-    EXPECT_EQ(plan.next(began + seconds(4), requests(1)), stop_step::serve);
+    EXPECT_EQ(plan.advance(began + seconds(2), {}), stop_step::serve);
+    EXPECT_EQ(plan.advance(began + seconds(4), requests(1)), stop_step::serve);
 }
 
 // Guards against a busy process that takes work until its last moment.
 TEST(stop_plan, takes_no_more_while_there_is_time_to_finish)
 {
     stop_plan plan(began, grace);
-    EXPECT_EQ(plan.next(began + milliseconds(4700), requests(3)), stop_step::serve);
-    EXPECT_EQ(plan.next(began + milliseconds(4900), requests(3)), stop_step::finish);
-    EXPECT_EQ(plan.next(began + milliseconds(6700), requests(3)), stop_step::finish);
-    EXPECT_EQ(plan.next(began + milliseconds(6900), requests(1)), stop_step::give_up);
-    EXPECT_EQ(plan.next(began + milliseconds(6950), requests(1)), stop_step::give_up);
-    EXPECT_EQ(plan.next(began + milliseconds(7200), requests(1)), stop_step::end);
+    EXPECT_EQ(plan.advance(began + milliseconds(4700), requests(3)), stop_step::serve);
+    EXPECT_EQ(plan.advance(began + milliseconds(4900), requests(3)), stop_step::finish);
+    EXPECT_EQ(plan.advance(began + milliseconds(6700), requests(3)), stop_step::finish);
+    EXPECT_EQ(plan.advance(began + milliseconds(6900), requests(1)), stop_step::give_up);
+    EXPECT_EQ(plan.advance(began + milliseconds(6950), requests(1)), stop_step::give_up);
+    EXPECT_EQ(plan.advance(began + milliseconds(7200), requests(1)), stop_step::end);
 }
 
 TEST(stop_plan, waits_for_batches_until_the_last_moment)
 {
     stop_plan plan(began, grace);
     const open_work batch{0, 0, 1};
-    EXPECT_EQ(plan.next(began + milliseconds(4900), batch), stop_step::finish);
-    EXPECT_EQ(plan.next(began + milliseconds(6700), batch), stop_step::finish);
-    EXPECT_EQ(plan.next(began + milliseconds(6900), batch), stop_step::give_up);
-    EXPECT_EQ(plan.next(began + milliseconds(6950), batch), stop_step::end);
+    EXPECT_EQ(plan.advance(began + milliseconds(4900), batch), stop_step::finish);
+    EXPECT_EQ(plan.advance(began + milliseconds(6700), batch), stop_step::finish);
+    EXPECT_EQ(plan.advance(began + milliseconds(6900), batch), stop_step::give_up);
+    EXPECT_EQ(plan.advance(began + milliseconds(6950), batch), stop_step::end);
 }
 
 TEST(stop_plan, does_not_wait_for_connections_without_requests)
 {
     stop_plan plan(began, grace);
-    EXPECT_EQ(plan.next(began + milliseconds(2600), {5, 0, 0}), stop_step::finish);
+    EXPECT_EQ(plan.advance(began + milliseconds(2600), {5, 0, 0}), stop_step::finish);
 }
 
 // Guards against a stream that is taken although its time reaches beyond the end of the process.
 TEST(stop_plan, takes_only_streams_that_are_over_in_time_once_callers_know)
 {
     const stop_plan plan(began, grace);
-    EXPECT_TRUE(plan.takes(began + seconds(1), began + seconds(20), answer_form::stream));
-    EXPECT_TRUE(plan.takes(began + seconds(3), began + seconds(5), answer_form::stream));
-    EXPECT_FALSE(plan.takes(began + seconds(3), began + seconds(20), answer_form::stream));
+    EXPECT_TRUE(plan.accepts(began + seconds(1), began + seconds(20), response_kind::stream));
+    EXPECT_TRUE(plan.accepts(began + seconds(3), began + seconds(5), response_kind::stream));
+    EXPECT_FALSE(plan.accepts(began + seconds(3), began + seconds(20), response_kind::stream));
 }
 
 // Guards against the refusal of a quick request whose caller would wait for long.
 TEST(stop_plan, takes_whole_answers_while_there_is_time_for_one)
 {
     const stop_plan plan(began, grace);
-    EXPECT_TRUE(plan.takes(began + milliseconds(5000), began + seconds(60), answer_form::whole));
-    EXPECT_FALSE(plan.takes(began + milliseconds(6500), began + seconds(60), answer_form::whole));
-    EXPECT_TRUE(plan.takes(began + milliseconds(6500), began + milliseconds(6600), answer_form::whole));
+    EXPECT_TRUE(plan.accepts(began + milliseconds(5000), began + seconds(60), response_kind::complete));
+    EXPECT_FALSE(plan.accepts(began + milliseconds(6500), began + seconds(60), response_kind::complete));
+    EXPECT_TRUE(
+        plan.accepts(began + milliseconds(6500), began + milliseconds(6600), response_kind::complete));
 }
 
 // Guards against a listener that closes at once where the grace is short.
 TEST(stop_plan, serves_for_a_part_of_a_short_grace)
 {
     stop_plan plan(began, milliseconds(3000));
-    EXPECT_EQ(plan.next(began + milliseconds(500), requests(1)), stop_step::serve);
-    EXPECT_EQ(plan.next(began + milliseconds(1000), requests(1)), stop_step::finish);
+    EXPECT_EQ(plan.advance(began + milliseconds(500), requests(1)), stop_step::serve);
+    EXPECT_EQ(plan.advance(began + milliseconds(1000), requests(1)), stop_step::finish);
 }
 
 TEST(stop_plan, ends_within_a_grace_that_leaves_no_time)
 {
     stop_plan plan(began, milliseconds(500));
-    EXPECT_EQ(plan.next(began, requests(1)), stop_step::finish);
-    EXPECT_EQ(plan.next(began, requests(1)), stop_step::give_up);
-    EXPECT_EQ(plan.next(began + milliseconds(400), requests(1)), stop_step::end);
+    EXPECT_EQ(plan.advance(began, requests(1)), stop_step::finish);
+    EXPECT_EQ(plan.advance(began, requests(1)), stop_step::give_up);
+    EXPECT_EQ(plan.advance(began + milliseconds(400), requests(1)), stop_step::end);
 }
 
 } // namespace
--- a/tests/policy/straggler_tests.cpp
+++ b/tests/policy/straggler_tests.cpp
@@ -5,10 +5,10 @@
 namespace vanillagauge::policy {
 namespace {
 
-stream_view stream(std::uint64_t attempt, int tokens, milliseconds running,
-                   milliseconds silent = milliseconds{20})
+stream_view stream(std::uint64_t attempt, int tokens, milliseconds elapsed,
+                   milliseconds since_last_chunk = milliseconds{20})
 {
-    return {attempt, tokens, running, silent, false, false};
+    return {attempt, tokens, elapsed, since_last_chunk, false, false};
 }
 
 step_view nearly_done(std::vector<stream_view> streams)
@@ -18,7 +18,7 @@
 
 TEST(stragglers, races_a_slow_stream_near_the_end)
 {
-    const auto chosen = stragglers(
+    const auto chosen = find_stragglers(
         nearly_done({stream(1, 200, seconds{1}), stream(2, 190, seconds{1}), stream(3, 40, seconds{1})}));
     ASSERT_EQ(chosen.size(), 1U);
     EXPECT_EQ(chosen[0].attempt, 3U);
@@ -27,7 +27,7 @@
 
 TEST(stragglers, leaves_a_sample_alone_that_is_merely_long)
 {
-    const auto chosen = stragglers(
+    const auto chosen = find_stragglers(
         nearly_done({stream(1, 800, seconds{4}), stream(2, 190, seconds{1}), stream(3, 200, seconds{1})}));
     EXPECT_TRUE(chosen.empty());
 }
@@ -36,9 +36,10 @@
 // none is, and the step would wait for all of them.
 TEST(stragglers, races_a_whole_group_on_one_slow_engine)
 {
-    const auto chosen = stragglers({6, 4, 8, 200, {stream(1, 20, seconds{1}), stream(2, 22, seconds{1})}});
+    const auto chosen =
+        find_stragglers({6, 4, 8, 200, {stream(1, 20, seconds{1}), stream(2, 22, seconds{1})}});
     EXPECT_EQ(chosen.size(), 2U);
-    EXPECT_TRUE(stragglers({6, 4, 8, 0, {stream(1, 20, seconds{1})}}).empty());
+    EXPECT_TRUE(find_stragglers({6, 4, 8, 0, {stream(1, 20, seconds{1})}}).empty());
 }
 
 // The connection to the engine went silent for good. Waiting for the stream's own timeout would hold the
@@ -46,7 +47,7 @@
 TEST(stragglers, resumes_a_silent_stream_at_once)
 {
     step_view early{16, 0, 8, 200, {stream(1, 80, seconds{3}, seconds{2}), stream(2, 80, seconds{1})}};
-    const auto chosen = stragglers(early);
+    const auto chosen = find_stragglers(early);
     ASSERT_EQ(chosen.size(), 1U);
     EXPECT_EQ(chosen[0].attempt, 1U);
     EXPECT_EQ(chosen[0].action, straggler_action::resume);
@@ -56,15 +57,15 @@
 {
     auto slow = stream(3, 10, seconds{1});
     const auto fast = stream(1, 200, seconds{1});
-    EXPECT_TRUE(stragglers({16, 4, 8, 200, {fast, fast, slow}}).empty());
+    EXPECT_TRUE(find_stragglers({16, 4, 8, 200, {fast, fast, slow}}).empty());
     auto full = nearly_done({fast, fast, slow});
-    full.free_places = 0;
-    EXPECT_TRUE(stragglers(full).empty());
+    full.free_capacity = 0;
+    EXPECT_TRUE(find_stragglers(full).empty());
     slow.raced = true;
-    EXPECT_TRUE(stragglers(nearly_done({fast, fast, slow})).empty());
+    EXPECT_TRUE(find_stragglers(nearly_done({fast, fast, slow})).empty());
     slow.raced = false;
     slow.scoring = true;
-    EXPECT_TRUE(stragglers(nearly_done({fast, fast, slow})).empty());
+    EXPECT_TRUE(find_stragglers(nearly_done({fast, fast, slow})).empty());
 }
 
 } // namespace
--- a/tests/traces/replay.cpp
+++ b/tests/traces/replay.cpp
@@ -161,7 +161,7 @@
 
     void stragglers(const json& line, const samples::job_state& state)
     {
-        const auto chosen = policy::stragglers(
+        const auto chosen = policy::find_stragglers(
             rollout::step_view_of(state, line.at("free_places").get<std::size_t>(), at(line)));
         json all = json::array();
         for (const auto& decision : chosen) {
