--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -6,16 +6,16 @@
 namespace vanillagauge::policy {
 namespace {
 
-constexpr double least_limit = 1;
-constexpr double most_limit = 512;
+constexpr double min_limit = 1;
+constexpr double max_limit = 512;
 /// A window closes with this many answers once it is this old.
-constexpr std::size_t least_samples = 8;
+constexpr std::size_t min_samples = 8;
 constexpr milliseconds window_time{100};
 /// Latency may grow by half before the limit falls: batching and noise on small VMs cost as much without any
 /// queue at the target.
 constexpr double tolerance = 1.5;
 /// One window never takes away more than half, so that one bad window is mended by a few good ones.
-constexpr double least_gradient = 0.5;
+constexpr double min_gradient = 0.5;
 constexpr double smoothing = 0.3;
 constexpr double failure_cut = 0.7;
 /// A limit that is hardly used says nothing about what the target could take.
@@ -47,14 +47,14 @@
     if (probing_ && !belongs_to_probe(latency, in_flight, now)) {
         return;
     }
-    if (count_ == 0) {
+    if (sample_count_ == 0) {
         window_start_ = now;
     }
     const auto micros = std::chrono::duration_cast<std::chrono::microseconds>(latency).count();
-    window_[count_++] = static_cast<std::uint32_t>(std::clamp<std::int64_t>(micros, 1, UINT32_MAX));
-    peak_ = std::max(peak_, in_flight);
-    const bool old_enough = now - window_start_ >= window_time && count_ >= least_samples;
-    if (old_enough || count_ == window_samples) {
+    window_[sample_count_++] = static_cast<std::uint32_t>(std::clamp<std::int64_t>(micros, 1, UINT32_MAX));
+    peak_in_flight_ = std::max(peak_in_flight_, in_flight);
+    const bool old_enough = now - window_start_ >= window_time && sample_count_ >= min_samples;
+    if (old_enough || sample_count_ == window_samples) {
         close_window(may_grow, now);
     }
 }
@@ -72,24 +72,24 @@
 // bring the limit to its least at once, and the target would be slow to come back.
 void concurrency_limit::on_failure(time_point now)
 {
-    if (now - last_cut_ < window_time) {
+    if (now - last_decrease_ < window_time) {
         return;
     }
-    last_cut_ = now;
-    limit_ = std::max(least_limit, limit_ * failure_cut);
+    last_decrease_ = now;
+    limit_ = std::max(min_limit, limit_ * failure_cut);
 }
 
 int concurrency_limit::limit() const
 {
     const double now_allowed = probing_ ? limit_ * probe_share : limit_;
-    return static_cast<int>(std::max(least_limit, now_allowed));
+    return static_cast<int>(std::max(min_limit, now_allowed));
 }
 
 double concurrency_limit::window_median()
 {
     const auto begin = window_.begin();
-    const auto middle = begin + static_cast<std::ptrdiff_t>(count_ / 2);
-    std::nth_element(begin, middle, begin + static_cast<std::ptrdiff_t>(count_));
+    const auto middle = begin + static_cast<std::ptrdiff_t>(sample_count_ / 2);
+    std::nth_element(begin, middle, begin + static_cast<std::ptrdiff_t>(sample_count_));
     return *middle;
 }
 
@@ -114,19 +114,19 @@
     if (!probed) {
         adjust(median, may_grow);
     }
-    count_ = 0;
-    peak_ = 0;
+    sample_count_ = 0;
+    peak_in_flight_ = 0;
 }
 
 void concurrency_limit::adjust(double median, bool may_grow)
 {
-    const double gradient = std::clamp(tolerance * baseline_ / median, least_gradient, 1.0);
+    const double gradient = std::clamp(tolerance * baseline_ / median, min_gradient, 1.0);
     const double next = limit_ * gradient + std::sqrt(limit_);
-    const bool used = peak_ >= used_share * limit_;
+    const bool used = peak_in_flight_ >= used_share * limit_;
     if (next > limit_ && !(used && may_grow)) {
         return;
     }
-    limit_ = std::clamp(limit_ + smoothing * (next - limit_), least_limit, most_limit);
+    limit_ = std::clamp(limit_ + smoothing * (next - limit_), min_limit, max_limit);
 }
 
 } // namespace vanillagauge::policy
--- a/src/policy/concurrency_limit.hpp
+++ b/src/policy/concurrency_limit.hpp
@@ -26,14 +26,14 @@
 
     double limit_;
     std::array<std::uint32_t, window_samples> window_{}; ///< microseconds
-    std::size_t count_ = 0;
-    int peak_ = 0;
+    std::size_t sample_count_ = 0;
+    int peak_in_flight_ = 0;
     double baseline_ = 0; ///< microseconds; 0: not measured yet
     bool probing_ = false;
     time_point window_start_;
     time_point next_probe_;
     time_point probe_start_;
-    time_point last_cut_;
+    time_point last_decrease_;
 
     bool belongs_to_probe(duration latency, int in_flight, time_point now);
     double window_median();
--- a/src/policy/engine_speed.cpp
+++ b/src/policy/engine_speed.cpp
@@ -8,7 +8,7 @@
 /// Engines of one service differ by some 30% by their make, and several times while one is in trouble; the
 /// smoothed gaps of equal engines differ by some 5%.
 constexpr double slow_factor = 1.18;
-constexpr std::size_t least_known = 3;
+constexpr std::size_t min_measured = 3;
 
 } // namespace
 
@@ -18,7 +18,7 @@
 double slow_gap_threshold(std::vector<double> gaps)
 {
     std::erase_if(gaps, [](double gap) { return gap <= 0; });
-    if (gaps.size() < least_known) {
+    if (gaps.size() < min_measured) {
         return 0;
     }
     const auto quarter = gaps.begin() + static_cast<std::ptrdiff_t>(gaps.size() / 4);
--- a/src/policy/fair_queue.cpp
+++ b/src/policy/fair_queue.cpp
@@ -6,19 +6,19 @@
 namespace {
 
 /// About 300 bytes each, so a full queue stays under a megabyte.
-constexpr std::size_t most_waiting = 2048;
+constexpr std::size_t max_waiting = 2048;
 /// A request may wait for half of the time it has: the other half is for being served.
 constexpr int deadline_share = 2;
 /// No request waits longer, whatever its deadline: a caller told to come back after this reaches another
 /// node sooner than it would be served here.
-constexpr milliseconds longest_wait{1000};
+constexpr milliseconds max_wait{1000};
 /// A line that has not been empty for this long is no burst.
 constexpr milliseconds standing_after{1000};
 /// What a request may wait in a standing line, but never less than it takes to serve a few.
 constexpr milliseconds standing_wait{100};
-constexpr double least_line = 4;
-constexpr milliseconds least_retry_after{50};
-constexpr milliseconds most_retry_after{5000};
+constexpr double min_queue = 4;
+constexpr milliseconds min_retry_after{50};
+constexpr milliseconds max_retry_after{5000};
 constexpr std::chrono::duration<double> rate_window{0.25};
 constexpr double rate_smoothing = 0.4;
 /// Targets come and go; a rate from an earlier burst says little.
@@ -46,35 +46,35 @@
 //   refusal on arrival already keeps the line short.
 result<done> fair_queue::push(work item, time_point now)
 {
-    const auto patience = longest_wait_of(item, now);
-    if (patience <= duration::zero()) {
+    const auto allowed_wait = max_wait_of(item, now);
+    if (allowed_wait <= duration::zero()) {
         return error{error_code::deadline_exceeded, run_state::not_run, "the deadline has passed"};
     }
     if (now - rate_at_ > rate_life) {
-        rate_ = 0;
+        drain_rate_ = 0;
     }
-    const double wait = rate_ > 0 ? static_cast<double>(ahead_of(item)) / rate_ : 0;
-    if (wait_policy_ == wait_policy::shed_early && std::chrono::duration<double>(wait) > patience) {
+    const double wait = drain_rate_ > 0 ? static_cast<double>(requests_ahead(item)) / drain_rate_ : 0;
+    if (wait_policy_ == wait_policy::shed_early && std::chrono::duration<double>(wait) > allowed_wait) {
         return refused("the line is longer than the request may wait");
     }
-    if (size() >= most_waiting && !give_way_to(item)) {
+    if (size() >= max_waiting && !evict_for(item)) {
         return refused("the line is full");
     }
-    insert(std::move(item), now + patience, now);
+    insert(std::move(item), now + allowed_wait, now);
     return done{};
 }
 
-duration fair_queue::longest_wait_of(const work& item, time_point now) const
+duration fair_queue::max_wait_of(const work& item, time_point now) const
 {
     if (wait_policy_ == wait_policy::until_deadline) {
         return item.deadline - now;
     }
-    const auto burst = std::min<duration>((item.deadline - now) / deadline_share, longest_wait);
-    const bool standing = !empty() && now - busy_since_ > standing_after;
+    const auto burst = std::min<duration>((item.deadline - now) / deadline_share, max_wait);
+    const bool standing = !empty() && now - nonempty_since_ > standing_after;
     if (!standing) {
         return burst;
     }
-    const std::chrono::duration<double> few(rate_ > 0 ? least_line / rate_ : 0);
+    const std::chrono::duration<double> few(drain_rate_ > 0 ? min_queue / drain_rate_ : 0);
     const auto shortened = std::max<duration>(standing_wait, std::chrono::duration_cast<duration>(few));
     return std::min(burst, shortened);
 }
@@ -83,8 +83,8 @@
 {
     for (const auto& queue : classes_) {
         if (!queue.active.empty()) {
-            const auto place = queue.active.begin()->second;
-            return &entries_.at(queue.buckets[place].ids.front()).item;
+            const auto index = queue.active.begin()->second;
+            return &entries_.at(queue.buckets[index].ids.front()).item;
         }
     }
     return nullptr;
@@ -95,23 +95,23 @@
     const auto found = std::find_if(classes_.begin(), classes_.end(),
                                     [](const class_queue& queue) { return !queue.active.empty(); });
     auto& queue = *found;
-    const auto [tag, place] = *queue.active.begin();
-    auto& chosen = queue.buckets[place];
-    work item = take_out(chosen.ids.front());
+    const auto [tag, index] = *queue.active.begin();
+    auto& chosen = queue.buckets[index];
+    work item = remove(chosen.ids.front());
     queue.virtual_time = tag;
-    chosen.tag = tag + item.cost;
+    chosen.start_tag = tag + item.cost;
     if (!chosen.ids.empty()) {
-        queue.active.erase({tag, place});
-        queue.active.insert({chosen.tag, place});
+        queue.active.erase({tag, index});
+        queue.active.insert({chosen.start_tag, index});
     }
     return item;
 }
 
 std::vector<refusal> fair_queue::collect_refused(time_point now)
 {
-    while (!give_ups_.empty() && give_ups_.begin()->first <= now) {
-        const auto id = give_ups_.begin()->second;
-        take_out(id);
+    while (!expiries_.empty() && expiries_.begin()->first <= now) {
+        const auto id = expiries_.begin()->second;
+        remove(id);
         refused_.push_back({id, refused("no target was free in time")});
     }
     return std::exchange(refused_, {});
@@ -135,7 +135,7 @@
         return;
     }
     const double seen = finished_ / passed.count();
-    rate_ = rate_ == 0 ? seen : rate_ + rate_smoothing * (seen - rate_);
+    drain_rate_ = drain_rate_ == 0 ? seen : drain_rate_ + rate_smoothing * (seen - drain_rate_);
     finished_ = 0;
     rate_start_ = now;
     rate_at_ = now;
@@ -143,19 +143,19 @@
 
 std::optional<time_point> fair_queue::next_expiry() const
 {
-    if (give_ups_.empty()) {
+    if (expiries_.empty()) {
         return std::nullopt;
     }
-    return give_ups_.begin()->first;
+    return expiries_.begin()->first;
 }
 
 milliseconds fair_queue::drain_time() const
 {
-    if (rate_ <= 0) {
-        return least_retry_after;
+    if (drain_rate_ <= 0) {
+        return min_retry_after;
     }
-    const auto whole = std::chrono::duration<double>(static_cast<double>(size()) / rate_);
-    return std::chrono::duration_cast<milliseconds>(whole);
+    const auto total = std::chrono::duration<double>(static_cast<double>(size()) / drain_rate_);
+    return std::chrono::duration_cast<milliseconds>(total);
 }
 
 std::size_t fair_queue::bucket_of(const work& item) const
@@ -165,12 +165,12 @@
 
 /// How many requests will be served before this one: those of higher classes, and of its own class as many
 /// from each caller as its own caller has waiting.
-std::size_t fair_queue::ahead_of(const work& item) const
+std::size_t fair_queue::requests_ahead(const work& item) const
 {
     std::size_t ahead = 0;
     const auto own = static_cast<std::size_t>(item.urgency);
-    for (std::size_t place = 0; place < own; ++place) {
-        ahead += classes_[place].size;
+    for (std::size_t index = 0; index < own; ++index) {
+        ahead += classes_[index].size;
     }
     const auto& queue = classes_[own];
     const std::size_t own_waiting = queue.buckets[bucket_of(item)].ids.size();
@@ -179,7 +179,7 @@
 
 /// Takes the newest request of the longest bucket in the lowest class out, if that is lower than the
 /// newcomer's class or the bucket is longer than the newcomer's.
-bool fair_queue::give_way_to(const work& item)
+bool fair_queue::evict_for(const work& item)
 {
     for (std::size_t lowest = priority_count; lowest-- > 0;) {
         auto& queue = classes_[lowest];
@@ -197,53 +197,53 @@
             return false;
         }
         const auto id = longest->ids.back();
-        take_out(id);
+        remove(id);
         refused_.push_back({id, refused("gave way to another caller or class")});
         return true;
     }
     return false;
 }
 
-void fair_queue::insert(work item, time_point give_up, time_point now)
+void fair_queue::insert(work item, time_point expires_at, time_point now)
 {
-    const auto bucket_place = bucket_of(item);
+    const auto bucket_index = bucket_of(item);
     const auto id = item.id;
     auto& queue = classes_[static_cast<std::size_t>(item.urgency)];
-    auto& chosen = queue.buckets[bucket_place];
+    auto& chosen = queue.buckets[bucket_index];
     if (empty()) {
-        busy_since_ = now;
+        nonempty_since_ = now;
     }
     if (chosen.ids.empty()) {
         // A caller that was idle starts now; it keeps no claim from the time in which it asked for nothing.
-        chosen.tag = std::max(chosen.tag, queue.virtual_time);
-        queue.active.insert({chosen.tag, bucket_place});
+        chosen.start_tag = std::max(chosen.start_tag, queue.virtual_time);
+        queue.active.insert({chosen.start_tag, bucket_index});
     }
     const auto in_bucket = chosen.ids.insert(chosen.ids.end(), id);
     ++queue.size;
-    give_ups_.insert({give_up, id});
-    entries_.emplace(id, waiting{std::move(item), give_up, bucket_place, in_bucket});
+    expiries_.insert({expires_at, id});
+    entries_.emplace(id, waiting{std::move(item), expires_at, bucket_index, in_bucket});
 }
 
-work fair_queue::take_out(std::uint64_t id)
+work fair_queue::remove(std::uint64_t id)
 {
     const auto found = entries_.find(id);
-    auto& held = found->second;
-    auto& queue = classes_[static_cast<std::size_t>(held.item.urgency)];
-    auto& chosen = queue.buckets[held.bucket];
-    chosen.ids.erase(held.in_bucket);
+    auto& queued = found->second;
+    auto& queue = classes_[static_cast<std::size_t>(queued.item.urgency)];
+    auto& chosen = queue.buckets[queued.bucket];
+    chosen.ids.erase(queued.in_bucket);
     --queue.size;
     if (chosen.ids.empty()) {
-        queue.active.erase({chosen.tag, held.bucket});
+        queue.active.erase({chosen.start_tag, queued.bucket});
     }
-    give_ups_.erase({held.give_up, id});
-    work item = std::move(held.item);
+    expiries_.erase({queued.expires_at, id});
+    work item = std::move(queued.item);
     entries_.erase(found);
     return item;
 }
 
 error fair_queue::refused(const char* why) const
 {
-    const auto back = std::clamp(drain_time(), least_retry_after, most_retry_after);
+    const auto back = std::clamp(drain_time(), min_retry_after, max_retry_after);
     return {error_code::overloaded, run_state::not_run, why, back};
 }
 
--- a/src/policy/fair_queue.hpp
+++ b/src/policy/fair_queue.hpp
@@ -57,10 +57,10 @@
 private:
     static constexpr std::size_t bucket_count = 256;
 
-    using id_place = std::list<std::uint64_t>::iterator;
+    using id_position = std::list<std::uint64_t>::iterator;
     struct bucket {
         std::list<std::uint64_t> ids;
-        double tag = 0; ///< virtual time at which its next request starts
+        double start_tag = 0; ///< virtual time at which its next request starts
     };
     struct class_queue {
         std::array<bucket, bucket_count> buckets;
@@ -70,29 +70,29 @@
     };
     struct waiting {
         work item;
-        time_point give_up;
+        time_point expires_at;
         std::size_t bucket = 0;
-        id_place in_bucket;
+        id_position in_bucket;
     };
 
     std::uint64_t seed_;
     wait_policy wait_policy_;
     std::array<class_queue, priority_count> classes_;
     std::unordered_map<std::uint64_t, waiting> entries_;
-    std::set<std::pair<time_point, std::uint64_t>> give_ups_;
+    std::set<std::pair<time_point, std::uint64_t>> expiries_;
     std::vector<refusal> refused_;
-    double rate_ = 0; ///< requests finished a second while others waited; 0: not known yet
+    double drain_rate_ = 0; ///< requests finished a second while others waited; 0: not known yet
     double finished_ = 0;
     time_point rate_start_;
     time_point rate_at_;
-    time_point busy_since_;
+    time_point nonempty_since_;
 
     std::size_t bucket_of(const work& item) const;
-    std::size_t ahead_of(const work& item) const;
-    bool give_way_to(const work& item);
-    void insert(work item, time_point give_up, time_point now);
-    duration longest_wait_of(const work& item, time_point now) const;
-    work take_out(std::uint64_t id);
+    std::size_t requests_ahead(const work& item) const;
+    bool evict_for(const work& item);
+    void insert(work item, time_point expires_at, time_point now);
+    duration max_wait_of(const work& item, time_point now) const;
+    work remove(std::uint64_t id);
     error refused(const char* why) const;
 };
 
--- a/src/policy/load_hint.cpp
+++ b/src/policy/load_hint.cpp
@@ -9,9 +9,9 @@
 constexpr seconds report_life{3};
 /// One report moves the share by at most this much: at two reports a second the full way takes four seconds,
 /// longer than reports lag, so the effect of a shift shows in the reports before the next large one.
-constexpr double most_shift = 0.1;
+constexpr double max_shift = 0.1;
 /// A target is never starved on its own word, or its true latency could not be seen any more.
-constexpr double least_weight = 0.25;
+constexpr double min_weight = 0.25;
 
 } // namespace
 
@@ -28,8 +28,8 @@
     queueing_ = load > report.capacity;
     const double wanted = queueing_ ? static_cast<double>(report.capacity) / load : 1.0;
     const double from = weight(now);
-    weight_ = std::clamp(wanted, from - most_shift, from + most_shift);
-    weight_ = std::clamp(weight_, least_weight, 1.0);
+    weight_ = std::clamp(wanted, from - max_shift, from + max_shift);
+    weight_ = std::clamp(weight_, min_weight, 1.0);
     measured_at_ = now - report.age;
 }
 
--- a/src/policy/outlier_ejection.cpp
+++ b/src/policy/outlier_ejection.cpp
@@ -8,7 +8,7 @@
 /// Five in a row: at one failure in ten by chance, one answer in 100,000 ejects wrongly.
 constexpr int failures_to_eject = 5;
 constexpr milliseconds base_ejection_time{3000};
-constexpr int most_doublings = 4;
+constexpr int max_doublings = 4;
 /// At most a third of the group is out. Where more look bad, the fault is more likely ours, the network's or
 /// the load's, and ejecting would put the whole load on the rest.
 constexpr std::size_t ejected_divisor = 3;
@@ -47,7 +47,7 @@
         return false;
     }
     ++ejected_;
-    const int doublings = std::min(target.consecutive_ejections++, most_doublings);
+    const int doublings = std::min(target.consecutive_ejections++, max_doublings);
     target.ejected_until = now + base_ejection_time * (1 << doublings);
     target.consecutive_failures = 0;
     return true;
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -7,7 +7,7 @@
 
 /// With 9 of 10 targets full, 48 places miss all the others in one draw out of 150; the request then waits
 /// for the next answer, which is a matter of microseconds in a group of that size.
-constexpr std::size_t most_looked_at = 48;
+constexpr std::size_t max_examined = 48;
 /// Points of a target on the ring: its share of the prefixes is then within about a third of the mean, and
 /// the load bound takes care of the rest.
 constexpr std::uint64_t points_per_target = 8;
@@ -18,24 +18,25 @@
 // of all sends every node to the same target until its figures change; two random choices spread them and
 // still avoid a slow target. A third choice adds little. A walk from a random place finds the two, so the
 // cost is the same for 20 targets and 6,500.
-std::optional<std::size_t> place_two_choices(const std::vector<std::size_t>& places, const is_usable& usable,
-                                             const load_of& load, std::mt19937_64& random)
+std::optional<std::size_t> place_two_choices(const std::vector<std::size_t>& candidates,
+                                             const is_usable& usable, const load_of& load,
+                                             std::mt19937_64& random)
 {
-    if (places.empty()) {
+    if (candidates.empty()) {
         return std::nullopt;
     }
-    const std::size_t looks = std::min(places.size(), most_looked_at);
+    const std::size_t max_tries = std::min(candidates.size(), max_examined);
     // A new random place for each of the two choices; neighbours in the list would always compete in pairs.
     const auto find_from = [&](std::size_t start) -> std::optional<std::size_t> {
-        for (std::size_t look = 0; look < looks; ++look) {
-            const auto place = places[(start + look) % places.size()];
-            if (usable(place)) {
-                return place;
+        for (std::size_t tries = 0; tries < max_tries; ++tries) {
+            const auto index = candidates[(start + tries) % candidates.size()];
+            if (usable(index)) {
+                return index;
             }
         }
         return std::nullopt;
     };
-    std::uniform_int_distribution<std::size_t> draw(0, places.size() - 1);
+    std::uniform_int_distribution<std::size_t> draw(0, candidates.size() - 1);
     const auto first = find_from(draw(random));
     if (!first) {
         return std::nullopt;
@@ -53,9 +54,9 @@
 prefix_ring::prefix_ring(const std::vector<std::pair<std::string, std::size_t>>& targets)
 {
     points_.reserve(targets.size() * points_per_target);
-    for (const auto& [id, place] : targets) {
+    for (const auto& [id, index] : targets) {
         for (std::uint64_t point = 0; point < points_per_target; ++point) {
-            points_.emplace_back(hash64(id, point), place);
+            points_.emplace_back(hash64(id, point), index);
         }
     }
     std::sort(points_.begin(), points_.end());
--- a/src/policy/placement.hpp
+++ b/src/policy/placement.hpp
@@ -16,13 +16,14 @@
 
 namespace vanillagauge::policy {
 
-using is_usable = std::function<bool(std::size_t place)>;
-using load_of = std::function<double(std::size_t place)>;
-
-/// One of `places` to use; none where none of those looked at is usable. Looks at a bounded number of them,
-/// which is all for small groups.
-std::optional<std::size_t> place_two_choices(const std::vector<std::size_t>& places, const is_usable& usable,
-                                             const load_of& load, std::mt19937_64& random);
+using is_usable = std::function<bool(std::size_t index)>;
+using load_of = std::function<double(std::size_t index)>;
+
+/// One of `candidates` to use; none where none of those looked at is usable. Looks at a bounded number of
+/// them, which is all for small groups.
+std::optional<std::size_t> place_two_choices(const std::vector<std::size_t>& candidates,
+                                             const is_usable& usable, const load_of& load,
+                                             std::mt19937_64& random);
 
 /// Maps a prefix to the targets that shall cache it; few prefixes move when targets come and go.
 class prefix_ring {
--- a/src/policy/quarantine.cpp
+++ b/src/policy/quarantine.cpp
@@ -13,7 +13,7 @@
 /// Nodes tell each other of an answer within some two seconds; late word of the crash must not undo it.
 constexpr seconds clearance_life{30};
 /// About 200 bytes each: a crash that takes 500 requests with it fits twice.
-constexpr std::size_t most_records = 1024;
+constexpr std::size_t max_records = 1024;
 
 } // namespace
 
@@ -176,11 +176,11 @@
 
 void quarantine::make_room(time_point now)
 {
-    if (records_.size() < most_records) {
+    if (records_.size() < max_records) {
         return;
     }
     std::erase_if(records_, [now](const auto& item) { return item.second.expires <= now; });
-    if (records_.size() < most_records) {
+    if (records_.size() < max_records) {
         return;
     }
     // Suspects go before requests that are held.
--- a/src/policy/retry_budget.cpp
+++ b/src/policy/retry_budget.cpp
@@ -9,7 +9,7 @@
 constexpr double share = 0.2;
 /// Keeps retries possible for a group with little traffic.
 constexpr double per_second = 1;
-constexpr double most_tokens = 100;
+constexpr double max_tokens = 100;
 
 } // namespace
 
@@ -17,14 +17,14 @@
 // as many exactly when targets can take the least, and the overload keeps itself up after its cause is gone.
 void retry_budget::on_request()
 {
-    tokens_ = std::min(most_tokens, tokens_ + share);
+    tokens_ = std::min(max_tokens, tokens_ + share);
 }
 
 bool retry_budget::take(time_point now)
 {
     if (refilled_ != time_point{}) {
         const std::chrono::duration<double> passed = now - refilled_;
-        tokens_ = std::min(most_tokens, tokens_ + passed.count() * per_second);
+        tokens_ = std::min(max_tokens, tokens_ + passed.count() * per_second);
     }
     refilled_ = now;
     if (tokens_ < 1) {
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -34,7 +34,7 @@
 
 std::optional<placed> scheduler::retry(const work& item, time_point now)
 {
-    if (!plain_ && !budget_.take(now)) {
+    if (!unlimited_ && !budget_.take(now)) {
         return std::nullopt;
     }
     return acquire(item, now);
--- a/src/policy/scheduler.hpp
+++ b/src/policy/scheduler.hpp
@@ -28,7 +28,7 @@
 class scheduler {
 public:
     scheduler(std::uint64_t seed, pool_options options, wait_policy policy = wait_policy::shed_early)
-        : pool_(seed, options), queue_(seed, policy), plain_(!options.limited)
+        : pool_(seed, options), queue_(seed, policy), unlimited_(!options.limited)
     {
     }
 
@@ -56,7 +56,7 @@
     target_pool pool_;
     fair_queue queue_;
     retry_budget budget_;
-    bool plain_;
+    bool unlimited_;
 };
 
 } // namespace vanillagauge::policy
--- a/src/policy/step_placement.cpp
+++ b/src/policy/step_placement.cpp
@@ -21,9 +21,9 @@
 std::vector<std::size_t> eligible_engines(const std::vector<engine_view>& engines, const sample_view& sample)
 {
     std::vector<std::size_t> found;
-    for (std::size_t place = 0; place < engines.size(); ++place) {
-        if (is_eligible(engines[place], sample)) {
-            found.push_back(place);
+    for (std::size_t index = 0; index < engines.size(); ++index) {
+        if (is_eligible(engines[index], sample)) {
+            found.push_back(index);
         }
     }
     return found;
@@ -33,8 +33,8 @@
 double bounded_load(const std::vector<engine_view>& engines, const std::vector<std::size_t>& usable)
 {
     double sum = 1;
-    for (const auto place : usable) {
-        sum += engines[place].in_flight;
+    for (const auto index : usable) {
+        sum += engines[index].in_flight;
     }
     return load_bound * sum / static_cast<double>(usable.size());
 }
@@ -60,12 +60,12 @@
     }
     const double bound = bounded_load(engines, usable);
     std::optional<std::size_t> best;
-    for (const auto place : usable) {
-        const int load = engines[place].in_flight + 1;
-        const bool allowed = load <= bound || load * free_share <= engines[place].limit;
-        if (allowed && (!best || rendezvous_score(engines[place], sample.prefix_hash) >
+    for (const auto index : usable) {
+        const int load = engines[index].in_flight + 1;
+        const bool allowed = load <= bound || load * free_share <= engines[index].limit;
+        if (allowed && (!best || rendezvous_score(engines[index], sample.prefix_hash) >
                                      rendezvous_score(engines[*best], sample.prefix_hash))) {
-            best = place;
+            best = index;
         }
     }
     if (best) {
@@ -80,9 +80,9 @@
                                              const sample_view& sample, std::size_t turn)
 {
     for (std::size_t step = 0; step < engines.size(); ++step) {
-        const std::size_t place = (turn + step) % engines.size();
-        if (is_eligible(engines[place], sample)) {
-            return place;
+        const std::size_t index = (turn + step) % engines.size();
+        if (is_eligible(engines[index], sample)) {
+            return index;
         }
     }
     return std::nullopt;
--- a/src/policy/straggler.cpp
+++ b/src/policy/straggler.cpp
@@ -8,9 +8,9 @@
 /// Racing starts once half of the step is there.
 constexpr std::size_t near_end_halves = 1;
 /// A stream silent for this long is taken for dead: many times the gap between chunks of a busy engine.
-constexpr seconds longest_silence{2};
+constexpr seconds max_chunk_gap{2};
 /// Before this a stream's rate says nothing.
-constexpr milliseconds least_history{250};
+constexpr milliseconds min_elapsed{250};
 /// A stream is slow below this share of the typical rate.
 constexpr double slow_share = 0.5;
 
@@ -39,10 +39,10 @@
         if (stream.scoring || stream.raced || chosen.size() >= step.free_capacity) {
             continue;
         }
-        if (stream.since_last_chunk >= longest_silence) {
+        if (stream.since_last_chunk >= max_chunk_gap) {
             chosen.push_back({stream.attempt, straggler_action::resume});
         }
-        else if (near_end && stream.elapsed >= least_history && rate(stream) < slow) {
+        else if (near_end && stream.elapsed >= min_elapsed && rate(stream) < slow) {
             chosen.push_back({stream.attempt, straggler_action::race});
         }
     }
--- a/src/policy/target_pool.cpp
+++ b/src/policy/target_pool.cpp
@@ -14,9 +14,9 @@
 constexpr std::size_t prefix_choices = 2;
 /// Three times the latency that 95 of 100 answers keep: about one answer in a few hundred is hedged.
 constexpr int hedge_factor = 3;
-constexpr milliseconds least_hedge_delay{100};
+constexpr milliseconds min_hedge_delay{100};
 constexpr milliseconds first_hedge_delay{1000};
-constexpr double most_relative_latency = 10;
+constexpr double max_relative_latency = 10;
 
 } // namespace
 
@@ -28,11 +28,11 @@
         next.push_back(updated_record(target, now));
     }
     // What was not taken over leaves the counts with it.
-    for (auto& [id, place] : index_by_id_) {
-        auto& gone = entries_[place];
-        if (gone.target.id == id) {
-            ejection_.reinstate(gone.health);
-            total_in_flight_ -= gone.in_flight;
+    for (auto& [id, index] : index_by_id_) {
+        auto& removed = entries_[index];
+        if (removed.target.id == id) {
+            ejection_.reinstate(removed.health);
+            total_in_flight_ -= removed.in_flight;
         }
     }
     entries_ = std::move(next);
@@ -42,16 +42,16 @@
 
 target_pool::record target_pool::updated_record(const pool_target& target, time_point now)
 {
-    const auto held = index_by_id_.find(target.id);
-    if (held == index_by_id_.end()) {
+    const auto found = index_by_id_.find(target.id);
+    if (found == index_by_id_.end()) {
         record added{target, concurrency_limit(options_.initial_limit)};
         added.joined = populated_ ? now : time_point{};
         return added;
     }
-    record kept = std::move(entries_[held->second]);
-    index_by_id_.erase(held);
-    kept.target = target;
-    return kept;
+    record carried = std::move(entries_[found->second]);
+    index_by_id_.erase(found);
+    carried.target = target;
+    return carried;
 }
 
 void target_pool::rebuild_index()
@@ -60,13 +60,13 @@
     usable_.clear();
     by_domain_.clear();
     std::vector<std::pair<std::string, std::size_t>> on_ring;
-    for (std::size_t place = 0; place < entries_.size(); ++place) {
-        const auto& target = entries_[place].target;
-        index_by_id_[target.id] = place;
+    for (std::size_t index = 0; index < entries_.size(); ++index) {
+        const auto& target = entries_[index].target;
+        index_by_id_[target.id] = index;
         if (!target.leaving) {
-            usable_.push_back(place);
-            by_domain_[target.failure_domain].push_back(place);
-            on_ring.emplace_back(target.id, place);
+            usable_.push_back(index);
+            by_domain_[target.failure_domain].push_back(index);
+            on_ring.emplace_back(target.id, index);
         }
     }
     ring_ = prefix_ring(on_ring);
@@ -145,7 +145,7 @@
     if (!p95_.has_value()) {
         return first_hedge_delay;
     }
-    return std::max<duration>(hedge_factor * p95_.value(), least_hedge_delay);
+    return std::max<duration>(hedge_factor * p95_.value(), min_hedge_delay);
 }
 
 int target_pool::effective_limit(const record& item, time_point now) const
@@ -155,23 +155,23 @@
     return std::max(1, static_cast<int>(limit * share));
 }
 
-bool target_pool::has_room_for(std::size_t place, const work& item, time_point now)
+bool target_pool::has_room_for(std::size_t index, const work& item, time_point now)
 {
-    auto& entry = entries_[place];
+    auto& entry = entries_[index];
     const bool room = entry.in_flight < effective_limit(entry, now);
     return room && !ejection_.is_ejected(entry.health, now) && !item.tried.contains(entry.target.id);
 }
 
-double target_pool::cost(std::size_t place, time_point now) const
+double target_pool::cost(std::size_t index, time_point now) const
 {
-    const auto& entry = entries_[place];
+    const auto& entry = entries_[index];
     const double use = (entry.in_flight + 1.0) / effective_limit(entry, now);
     if (!entry.median.has_value() || !median_.has_value()) {
         return use;
     }
     const auto relative =
         std::chrono::duration<double>(entry.median.value()) / std::chrono::duration<double>(median_.value());
-    return use * std::clamp(relative, 1.0, most_relative_latency);
+    return use * std::clamp(relative, 1.0, max_relative_latency);
 }
 
 std::optional<std::size_t> target_pool::choose(const work& item, time_point now)
@@ -181,19 +181,19 @@
             return cached;
         }
     }
-    const auto sound = [&](std::size_t place) {
-        return has_room_for(place, item, now) && !failed_recently(entries_[place].health, now);
+    const auto healthy = [&](std::size_t index) {
+        return has_room_for(index, item, now) && !failed_recently(entries_[index].health, now);
     };
-    if (const auto chosen = choose_usable(sound, item, now)) {
+    if (const auto chosen = choose_usable(healthy, item, now)) {
         return chosen;
     }
-    return choose_usable([&](std::size_t place) { return has_room_for(place, item, now); }, item, now);
+    return choose_usable([&](std::size_t index) { return has_room_for(index, item, now); }, item, now);
 }
 
 std::optional<std::size_t> target_pool::choose_usable(const std::function<bool(std::size_t)>& usable,
                                                       const work& item, time_point now)
 {
-    const auto load = [&](std::size_t place) { return cost(place, now); };
+    const auto load = [&](std::size_t index) { return cost(index, now); };
     const auto near = by_domain_.find(item.near_domain);
     if (near != by_domain_.end()) {
         if (const auto chosen = place_two_choices(near->second, usable, std::ref(load), random_)) {
@@ -209,9 +209,9 @@
         (total_in_flight_ + 1.0) / static_cast<double>(std::max<std::size_t>(1, usable_.size()));
     const double bound = std::ceil(prefix_load_bound * mean);
     for (std::size_t choice = 0; choice < prefix_choices; ++choice) {
-        const auto place = ring_.at(item.prefix, choice);
-        if (place && entries_[*place].in_flight + 1 <= bound && has_room_for(*place, item, now)) {
-            return place;
+        const auto index = ring_.at(item.prefix, choice);
+        if (index && entries_[*index].in_flight + 1 <= bound && has_room_for(*index, item, now)) {
+            return index;
         }
     }
     return std::nullopt;
@@ -220,9 +220,9 @@
 std::optional<std::size_t> target_pool::choose_round_robin(const work& item)
 {
     for (std::size_t tries = 0; tries < usable_.size(); ++tries) {
-        const auto place = usable_[round_robin_next_++ % usable_.size()];
-        if (!item.tried.contains(entries_[place].target.id)) {
-            return place;
+        const auto index = usable_[round_robin_next_++ % usable_.size()];
+        if (!item.tried.contains(entries_[index].target.id)) {
+            return index;
         }
     }
     return std::nullopt;
--- a/src/policy/target_pool.hpp
+++ b/src/policy/target_pool.hpp
@@ -95,13 +95,13 @@
     void rebuild_index();
     record updated_record(const pool_target& target, time_point now);
     int effective_limit(const record& item, time_point now) const;
-    bool has_room_for(std::size_t place, const work& item, time_point now);
+    bool has_room_for(std::size_t index, const work& item, time_point now);
     std::optional<std::size_t> choose(const work& item, time_point now);
     std::optional<std::size_t> choose_round_robin(const work& item);
     std::optional<std::size_t> choose_usable(const std::function<bool(std::size_t)>& usable, const work& item,
                                              time_point now);
     std::optional<std::size_t> choose_cached(const work& item, time_point now);
-    double cost(std::size_t place, time_point now) const;
+    double cost(std::size_t index, time_point now) const;
 };
 
 } // namespace vanillagauge::policy
--- a/src/policy/wave_fence.cpp
+++ b/src/policy/wave_fence.cpp
@@ -25,7 +25,7 @@
     state_known_ = true;
     store_ = store_state::available;
     stored_version_ = version;
-    number_ = std::max(number_, version);
+    fencing_token_ = std::max(fencing_token_, version);
     was_unheld_ = version == 0 || (holder == settings_.self && lease_end_ > now);
 }
 
@@ -34,7 +34,7 @@
     request_pending_ = false;
     store_ = store_state::available;
     stored_version_ = version;
-    number_ = std::max(number_, version);
+    fencing_token_ = std::max(fencing_token_, version);
     lease_end_ = requested_at + settings_.lease_ttl;
     next_write_ = requested_at + settings_.lease_ttl / renewals_a_lease;
 }
@@ -59,7 +59,7 @@
 
 void wave_fence::on_fencing_token(std::uint64_t seen)
 {
-    number_ = std::max(number_, seen);
+    fencing_token_ = std::max(fencing_token_, seen);
 }
 
 fence_action wave_fence::next(time_point now)
@@ -94,10 +94,10 @@
     }
     const bool held = now < lease_end_;
     if (held && (settings_.enforced || was_unheld_ || takeover_wait_over(now))) {
-        return number_;
+        return fencing_token_;
     }
     if (store_ == store_state::unavailable && takeover_wait_over(now)) {
-        return number_;
+        return fencing_token_;
     }
     return std::nullopt;
 }
--- a/src/policy/wave_fence.hpp
+++ b/src/policy/wave_fence.hpp
@@ -58,7 +58,7 @@
     bool request_pending_ = false;
     bool was_unheld_ = false; ///< nobody held the lease when it was read
     std::uint64_t stored_version_ = 0;
-    std::uint64_t number_ = 0;
+    std::uint64_t fencing_token_ = 0;
     time_point lease_end_{};
     time_point next_write_{};
     time_point next_try_{};
--- a/src/policy/wave_plan.cpp
+++ b/src/policy/wave_plan.cpp
@@ -8,7 +8,7 @@
 constexpr std::size_t staleness_share = 2;
 constexpr std::size_t idle_share = 8;
 constexpr milliseconds first_retry{250};
-constexpr int most_doublings = 5;
+constexpr int max_doublings = 5;
 
 bool behind(const wave_engine& engine, std::uint64_t announced)
 {
@@ -20,7 +20,7 @@
     if (engine.failures == 0) {
         return false;
     }
-    return now < engine.failed_at + first_retry * (1 << std::min(engine.failures - 1, most_doublings));
+    return now < engine.failed_at + first_retry * (1 << std::min(engine.failures - 1, max_doublings));
 }
 
 /// Those whose work loses least come first; among equals the oldest weights.
@@ -108,9 +108,9 @@
         }
     }
     strategy == wave_strategy::idle ? sort_by_cost(waiting) : sort_by_age(waiting);
-    const std::size_t most = max_wave_loads(able, strategy);
+    const std::size_t max_loads = max_wave_loads(able, strategy);
     for (const auto* engine : waiting) {
-        if (loading + actions.order.size() < most) {
+        if (loading + actions.order.size() < max_loads) {
             actions.order.push_back(engine->id);
         }
     }
--- a/src/policy/weight_load_plan.cpp
+++ b/src/policy/weight_load_plan.cpp
@@ -11,7 +11,7 @@
 /// Loads slow each other down once more than about a fifth of the engines load: then more at once end no
 /// sooner, and each takes its engine's places away for longer.
 constexpr std::size_t share_at_once = 5;
-constexpr std::size_t least_at_once = 2;
+constexpr std::size_t min_at_once = 2;
 
 std::uint64_t version_at(const model_engine& engine, const std::string& model)
 {
@@ -59,7 +59,7 @@
 
 std::size_t max_concurrent_loads(std::size_t engines)
 {
-    return std::max(least_at_once, engines / share_at_once);
+    return std::max(min_at_once, engines / share_at_once);
 }
 
 // Load pattern: several trainers name a new version every few seconds for models on the same engines. If
@@ -73,7 +73,7 @@
 {
     const auto loading = static_cast<std::size_t>(std::count_if(
         engines.begin(), engines.end(), [](const model_engine& engine) { return engine.loading; }));
-    const auto most = max_concurrent_loads(engines.size());
+    const auto max_loads = max_concurrent_loads(engines.size());
     auto behind = assign(engines, newest);
     std::erase_if(behind, [](const assignment& item) {
         return item.lag() == 0 || item.engine->loading || item.engine->backing_off;
@@ -84,7 +84,7 @@
     });
     std::vector<weight_load> plan;
     for (const auto& item : behind) {
-        if (loading + plan.size() >= most) {
+        if (loading + plan.size() >= max_loads) {
             break;
         }
         plan.push_back({item.engine->id, item.model, item.newest});
--- a/tests/policy/decision_tests.cpp
+++ b/tests/policy/decision_tests.cpp
@@ -11,7 +11,7 @@
 {
     retry_budget budget;
     int retried = 0;
-    for (int place = 0; place < 10000; ++place) {
+    for (int index = 0; index < 10000; ++index) {
         budget.on_request();
         retried += budget.take(start) ? 1 : 0;
     }
@@ -168,7 +168,7 @@
     load_hint hint;
     hint.on_report({100, 0, 10, {}}, start);
     EXPECT_NEAR(hint.weight(start), 0.9, 1e-9);
-    for (int place = 0; place < 100; ++place) {
+    for (int index = 0; index < 100; ++index) {
         hint.on_report({100, 0, 10, {}}, start);
     }
     EXPECT_NEAR(hint.weight(start), 0.25, 1e-9);
@@ -187,7 +187,7 @@
 {
     concurrency_limit limit(16);
     const int before = limit.limit();
-    for (int place = 0; place < 30; ++place) {
+    for (int index = 0; index < 30; ++index) {
         limit.on_failure(start);
     }
     EXPECT_GE(limit.limit(), before / 2);
@@ -201,7 +201,7 @@
     concurrency_limit limit(16);
     auto now = start;
     const auto play = [&](milliseconds latency, int answers) {
-        for (int place = 0; place < answers; ++place) {
+        for (int index = 0; index < answers; ++index) {
             now += milliseconds{10};
             limit.on_answer(latency, limit.limit(), true, now);
         }
--- a/tests/policy/placement_tests.cpp
+++ b/tests/policy/placement_tests.cpp
@@ -30,7 +30,7 @@
     target_pool pool(1, {});
     pool.update({{"n", "near"}, {"f", "far"}}, start);
     const int limit = pool.limit("n", start);
-    for (int place = 0; place < limit; ++place) {
+    for (int index = 0; index < limit; ++index) {
         EXPECT_EQ(pool.acquire(from_near(), start), "n");
     }
     EXPECT_EQ(pool.acquire(from_near(), start), "f");
@@ -42,14 +42,14 @@
 {
     target_pool pool(1, {});
     pool.update({{"slow", "near"}, {"b", "near"}, {"c", "near"}}, start);
-    for (int place = 0; place < 200; ++place) {
+    for (int index = 0; index < 200; ++index) {
         for (const char* id : {"slow", "b", "c"}) {
             pool.release(id, {attempt_result::answered, id[0] == 's' ? milliseconds{40} : milliseconds{10}},
                          start);
         }
     }
     std::map<std::string, int> taken;
-    for (int place = 0; place < 900; ++place) {
+    for (int index = 0; index < 900; ++index) {
         const auto id = pool.acquire(from_near(), start);
         ASSERT_TRUE(id);
         ++taken[*id];
@@ -67,7 +67,7 @@
     pool.update({{"bad1", "near"}, {"bad2", "near"}, {"good", "near"}}, start);
     int failed = 0;
     auto now = start;
-    for (int place = 0; place < 1000; ++place) {
+    for (int index = 0; index < 1000; ++index) {
         now += milliseconds{10};
         const auto id = pool.acquire(from_near(), now);
         ASSERT_TRUE(id);
@@ -84,7 +84,7 @@
 {
     target_pool pool(1, {});
     pool.update({{"a", "near"}, {"b", "near"}}, start);
-    for (int place = 0; place < 50; ++place) {
+    for (int index = 0; index < 50; ++index) {
         const auto id = pool.acquire(from_near(), start);
         ASSERT_TRUE(id);
         pool.release(*id, {attempt_result::failed, milliseconds{5}}, start);
@@ -97,7 +97,7 @@
 {
     target_pool pool(1, {});
     pool.update({{"bad", "near"}, {"good", "near"}, {"good2", "far"}}, start);
-    for (int place = 0; place < 3; ++place) {
+    for (int index = 0; index < 3; ++index) {
         work item = from_near();
         item.tried = {"good", "good2"};
         const auto id = pool.acquire(item, start);
@@ -126,21 +126,21 @@
     target_pool pool(1, {});
     std::vector<pool_target> targets;
     targets.reserve(20);
-    for (int place = 0; place < 20; ++place) {
-        targets.push_back({"t" + std::to_string(place), "near"});
+    for (int index = 0; index < 20; ++index) {
+        targets.push_back({"t" + std::to_string(index), "near"});
     }
     pool.update(targets, start);
     auto item = from_near();
     item.prefix = 77;
     std::set<std::string> alone;
-    for (int place = 0; place < 20; ++place) {
+    for (int index = 0; index < 20; ++index) {
         const auto id = pool.acquire(item, start);
         alone.insert(*id);
         pool.release(*id, {}, start);
     }
     EXPECT_EQ(alone.size(), 1U);
     std::map<std::string, int> hot;
-    for (int place = 0; place < 100; ++place) {
+    for (int index = 0; index < 100; ++index) {
         ++hot[*pool.acquire(item, start)];
     }
     EXPECT_LE(hot[*alone.begin()], 9); // a quarter above the mean of five, and two for rounding and choices
@@ -150,8 +150,8 @@
 TEST(prefix_ring, moves_few_prefixes_when_a_target_leaves)
 {
     std::vector<std::pair<std::string, std::size_t>> targets;
-    for (std::size_t place = 0; place < 20; ++place) {
-        targets.emplace_back("t" + std::to_string(place), place);
+    for (std::size_t index = 0; index < 20; ++index) {
+        targets.emplace_back("t" + std::to_string(index), index);
     }
     const prefix_ring before(targets);
     targets.pop_back();
--- a/tests/policy/scheduler_tests.cpp
+++ b/tests/policy/scheduler_tests.cpp
@@ -29,13 +29,13 @@
         simulation run(four_targets(), adaptive);
         run.load(capacity * times, seconds{10}, [] { return from_caller("phone"); });
         run.run();
-        const auto& seen = run.of("phone");
+        const auto& seen = run.outcome_of("phone");
         EXPECT_GT(seen.in_time, 0.9 * capacity * 10) << times;
         EXPECT_LT(seen.late, 0.002 * capacity * 10) << times;
-        EXPECT_LE(seen.longest_refusal, milliseconds{250}) << times;
+        EXPECT_LE(seen.max_refusal_time, milliseconds{250}) << times;
         EXPECT_LT(seen.quantile(0.9), milliseconds{250}) << times; // a standing line is kept short
         if (seen.refused > 0) {
-            EXPECT_GE(seen.least_retry_after, milliseconds{50}) << times;
+            EXPECT_GE(seen.min_retry_after, milliseconds{50}) << times;
         }
     }
 }
@@ -45,7 +45,7 @@
     simulation run(four_targets(), plain);
     run.load(capacity * 2, seconds{10}, [] { return from_caller("phone"); });
     run.run();
-    EXPECT_LT(run.of("phone").good_share(), 0.2);
+    EXPECT_LT(run.outcome_of("phone").success_share(), 0.2);
 }
 
 // The texts of a step are whole at once: sixty calls of 200 ms for ten places, and nobody else to ask. Turned
@@ -54,8 +54,8 @@
 TEST(burst, of_work_with_nowhere_else_to_go_waits_until_it_is_due)
 {
     const pool_options options{.limited = true, .initial_limit = 5, .adaptive = false};
-    scheduler line(7, options, wait_policy::until_deadline);
-    line.update({{"a", "near"}, {"b", "near"}}, time_point{});
+    scheduler decisions(7, options, wait_policy::until_deadline);
+    decisions.update({{"a", "near"}, {"b", "near"}}, time_point{});
     constexpr milliseconds call{200};
     constexpr int calls = 60;
     std::vector<std::string> running;
@@ -63,7 +63,7 @@
         work item;
         item.id = id;
         item.deadline = time_point{} + seconds{2};
-        const auto decided = line.submit(std::move(item), time_point{});
+        const auto decided = decisions.submit(std::move(item), time_point{});
         ASSERT_FALSE(std::holds_alternative<error>(decided));
         if (const auto* at = std::get_if<placed>(&decided)) {
             running.push_back(at->target);
@@ -73,9 +73,9 @@
     std::size_t started = running.size();
     for (time_point now{call}; now <= time_point{6 * call}; now += call) {
         for (const auto& target : std::exchange(running, {})) {
-            line.finish(target, {attempt_result::answered, call}, now);
+            decisions.finish(target, {attempt_result::answered, call}, now);
         }
-        const auto found = line.advance(now);
+        const auto found = decisions.advance(now);
         EXPECT_TRUE(found.refused.empty());
         for (const auto& start : found.started) {
             running.push_back(start.target);
@@ -84,7 +84,7 @@
         started += running.size();
     }
     EXPECT_EQ(started, calls);
-    EXPECT_EQ(line.waiting(), 0U);
+    EXPECT_EQ(decisions.waiting(), 0U);
 }
 
 // A forecast turns and ten times as many callers come within a second, then it is over. Afterwards callers
@@ -96,9 +96,9 @@
     run.at(seconds{3}, [&] { run.load(capacity * 5, seconds{2}, [] { return from_caller("surge"); }); });
     run.at(seconds{6}, [&] { run.load(capacity / 4, seconds{4}, [] { return from_caller("after"); }); });
     run.run();
-    EXPECT_GT(run.of("after").good_share(), 0.99);
-    EXPECT_GT(run.of("before").good_share(), 0.95);
-    EXPECT_GT(run.of("surge").in_time, 0.3 * capacity * 2);
+    EXPECT_GT(run.outcome_of("after").success_share(), 0.99);
+    EXPECT_GT(run.outcome_of("before").success_share(), 0.95);
+    EXPECT_GT(run.outcome_of("surge").in_time, 0.3 * capacity * 2);
 }
 
 // One caller sends five times what all targets serve. The others together ask for less than their share; what
@@ -107,15 +107,15 @@
 {
     simulation run(four_targets(), adaptive);
     run.load(capacity * 5, seconds{10}, [] { return from_caller("hot"); });
-    for (int place = 0; place < 10; ++place) {
-        const auto name = "quiet-" + std::to_string(place);
+    for (int index = 0; index < 10; ++index) {
+        const auto name = "quiet-" + std::to_string(index);
         run.load(capacity / 20, seconds{10}, [name] { return from_caller(name); });
     }
     run.run();
-    for (int place = 0; place < 10; ++place) {
-        EXPECT_GT(run.of("quiet-" + std::to_string(place)).good_share(), 0.97) << place;
+    for (int index = 0; index < 10; ++index) {
+        EXPECT_GT(run.outcome_of("quiet-" + std::to_string(index)).success_share(), 0.97) << index;
     }
-    EXPECT_GT(run.of("hot").in_time, 0.4 * capacity * 10);
+    EXPECT_GT(run.outcome_of("hot").in_time, 0.4 * capacity * 10);
 }
 
 // Rollouts and batches fill every target when drivers come to a barrier: the gate terminals go first. They
@@ -127,9 +127,9 @@
     run.at(seconds{2},
            [&] { run.load(capacity / 4, seconds{8}, [] { return from_caller("gate", priority::gate); }); });
     run.run();
-    EXPECT_GT(run.of("gate").good_share(), 0.999);
-    EXPECT_LT(run.of("gate").quantile(0.99), milliseconds{60});
-    EXPECT_GT(run.of("batch").in_time, 0.5 * capacity * 10);
+    EXPECT_GT(run.outcome_of("gate").success_share(), 0.999);
+    EXPECT_LT(run.outcome_of("gate").quantile(0.99), milliseconds{60});
+    EXPECT_GT(run.outcome_of("batch").in_time, 0.5 * capacity * 10);
 }
 
 // One target becomes ten times slower. Its callers would wait ten times as long; it is ejected, and what the
@@ -144,7 +144,7 @@
     run.run();
     const auto after = run.target("a").started - before;
     EXPECT_LT(after, 0.02 * 6 * capacity / 4);
-    EXPECT_LT(run.of("phone").quantile(0.98), milliseconds{60});
+    EXPECT_LT(run.outcome_of("phone").quantile(0.98), milliseconds{60});
 }
 
 // A target that fails at once always has room and would draw the whole load.
@@ -154,8 +154,8 @@
     run.target("a").fails = true;
     run.load(capacity / 4, seconds{10}, [] { return from_caller("phone"); });
     run.run();
-    EXPECT_LT(run.of("phone").failed, 40);
-    EXPECT_GT(run.of("phone").good_share(), 0.98);
+    EXPECT_LT(run.outcome_of("phone").failed, 40);
+    EXPECT_GT(run.outcome_of("phone").success_share(), 0.98);
 }
 
 // Every target fails: ejecting them all would refuse callers on our own account. At most a third is out.
@@ -169,7 +169,7 @@
     run.load(capacity / 4, seconds{2}, [] { return from_caller("phone"); });
     run.at(seconds{1}, [&] { EXPECT_EQ(run.decisions().pool().ejected(), 1U); });
     run.run();
-    EXPECT_EQ(run.of("phone").refused, 0);
+    EXPECT_EQ(run.outcome_of("phone").refused, 0);
 }
 
 // One request in twenty takes twenty times as long. The short ones must not be refused because the long ones
@@ -185,9 +185,9 @@
         return request;
     });
     run.run();
-    EXPECT_GT(run.of("short").good_share(), 0.99);
-    EXPECT_GT(run.of("long").good_share(), 0.99);
-    EXPECT_LT(run.of("short").quantile(0.9), milliseconds{100});
+    EXPECT_GT(run.outcome_of("short").success_share(), 0.99);
+    EXPECT_GT(run.outcome_of("long").success_share(), 0.99);
+    EXPECT_LT(run.outcome_of("short").quantile(0.9), milliseconds{100});
 }
 
 // A report that is ten times too high, and reports that come two seconds late: neither starves the target nor
@@ -195,12 +195,12 @@
 TEST(load_reports, that_are_late_or_wrong_change_little)
 {
     simulation run(four_targets(), adaptive);
-    run.target("a").reported = 10;
+    run.target("a").report_factor = 10;
     run.load(capacity * 0.6, seconds{10}, [] { return from_caller("phone"); });
     run.report_loads(seconds{10}, seconds{2});
     run.run();
-    EXPECT_GT(run.of("phone").good_share(), 0.99);
-    EXPECT_GT(run.target("a").started, 0.05 * run.of("phone").asked);
+    EXPECT_GT(run.outcome_of("phone").success_share(), 0.99);
+    EXPECT_GT(run.target("a").started, 0.05 * run.outcome_of("phone").requests);
 }
 
 // A replacement joins during a surge. It may have little in flight at first, however idle it looks.
@@ -210,11 +210,11 @@
     run.load(capacity * 2, seconds{16}, [] { return from_caller("phone"); });
     int early = 0;
     run.at(seconds{4}, [&] { run.add({"new", "near"}); });
-    run.at(seconds{5}, [&] { early = run.target("new").most_running; });
+    run.at(seconds{5}, [&] { early = run.target("new").max_running; });
     run.run();
     EXPECT_GE(early, 1);
     EXPECT_LE(early, 3);
-    EXPECT_GT(run.target("new").most_running, early);
+    EXPECT_GT(run.target("new").max_running, early);
 }
 
 } // namespace
--- a/tests/policy/simulation.cpp
+++ b/tests/policy/simulation.cpp
@@ -65,8 +65,8 @@
             for (auto& [id, target] : targets_) {
                 const auto busy = std::count_if(target.free_at.begin(), target.free_at.end(),
                                                 [this](time_point free) { return free > now_; });
-                const auto told = static_cast<int>(static_cast<double>(busy) * target.reported);
-                const load_report report{told, 0, target.workers, lag};
+                const auto reported_load = static_cast<int>(static_cast<double>(busy) * target.report_factor);
+                const load_report report{reported_load, 0, target.workers, lag};
                 schedule(now_ + lag, [this, report, name = id] { scheduler_.on_report(name, report, now_); });
             }
         });
@@ -87,13 +87,13 @@
 {
     caller_outcome sum;
     for (const auto& [caller, outcome] : outcomes_) {
-        sum.asked += outcome.asked;
+        sum.requests += outcome.requests;
         sum.in_time += outcome.in_time;
         sum.late += outcome.late;
         sum.failed += outcome.failed;
         sum.refused += outcome.refused;
-        sum.longest_refusal = std::max(sum.longest_refusal, outcome.longest_refusal);
-        sum.least_retry_after = std::min(sum.least_retry_after, outcome.least_retry_after);
+        sum.max_refusal_time = std::max(sum.max_refusal_time, outcome.max_refusal_time);
+        sum.min_retry_after = std::min(sum.min_retry_after, outcome.min_retry_after);
         sum.latencies.insert(sum.latencies.end(), outcome.latencies.begin(), outcome.latencies.end());
     }
     return sum;
@@ -107,7 +107,7 @@
 void simulation::arrive(const simulated_request& request)
 {
     const auto id = next_++;
-    ++outcomes_[request.caller].asked;
+    ++outcomes_[request.caller].requests;
     running_[id] = {request, now_};
     work item;
     item.id = id;
@@ -142,7 +142,7 @@
     auto& target = targets_.at(name);
     target.last_start = now_;
     ++target.started;
-    target.most_running = std::max(target.most_running, scheduler_.pool().in_flight(name));
+    target.max_running = std::max(target.max_running, scheduler_.pool().in_flight(name));
     if (target.fails) {
         schedule(now_ + milliseconds{1}, [this, id, name, began = now_] { end(id, name, began, true); });
         return;
@@ -158,7 +158,7 @@
 {
     const auto found = running_.find(id);
     auto& outcome = outcomes_[found->second.request.caller];
-    const auto latency = now_ - found->second.asked;
+    const auto latency = now_ - found->second.requested_at;
     if (failed) {
         ++outcome.failed;
     }
@@ -177,10 +177,10 @@
     const auto found = running_.find(id);
     auto& outcome = outcomes_[found->second.request.caller];
     ++outcome.refused;
-    outcome.longest_refusal = std::max(outcome.longest_refusal, now_ - found->second.asked);
+    outcome.max_refusal_time = std::max(outcome.max_refusal_time, now_ - found->second.requested_at);
     const bool truthful = reason.ran == run_state::not_run;
-    outcome.least_retry_after =
-        std::min(outcome.least_retry_after, truthful ? reason.retry_after : milliseconds{0});
+    outcome.min_retry_after =
+        std::min(outcome.min_retry_after, truthful ? reason.retry_after : milliseconds{0});
     running_.erase(found);
 }
 
@@ -190,8 +190,8 @@
     for (const auto& start : found.started) {
         begin(start.work_id, start.target);
     }
-    for (const auto& away : found.refused) {
-        refuse(away.work_id, away.reason);
+    for (const auto& refused : found.refused) {
+        refuse(refused.work_id, refused.reason);
     }
     arm_timer();
 }
--- a/tests/policy/simulation.hpp
+++ b/tests/policy/simulation.hpp
@@ -15,10 +15,10 @@
     std::string id;
     std::string domain;
     int workers = 4;
-    double slowness = 1;  ///< service times are multiplied by this
-    bool fails = false;   ///< answers with a failure at once
-    double reported = 1;  ///< its load reports are this many times the truth
-    int most_running = 0; ///< highest number in flight seen
+    double slowness = 1;      ///< service times are multiplied by this
+    bool fails = false;       ///< answers with a failure at once
+    double report_factor = 1; ///< its load reports are this many times the truth
+    int max_running = 0;      ///< highest number in flight seen
     std::int64_t started = 0;
     time_point last_start{};
     std::vector<time_point> free_at{};
@@ -32,19 +32,19 @@
 };
 
 struct caller_outcome {
-    std::int64_t asked = 0;
+    std::int64_t requests = 0;
     std::int64_t in_time = 0;
     std::int64_t late = 0;
     std::int64_t failed = 0;
     std::int64_t refused = 0;
-    duration longest_refusal{0};             ///< from the request to its refusal
-    milliseconds least_retry_after{1 << 30}; ///< advice given with refusals
+    duration max_refusal_time{0};          ///< from the request to its refusal
+    milliseconds min_retry_after{1 << 30}; ///< advice given with refusals
     std::vector<duration> latencies{};
 
     duration quantile(double share) const;
-    double good_share() const
+    double success_share() const
     {
-        return asked == 0 ? 0 : static_cast<double>(in_time) / static_cast<double>(asked);
+        return requests == 0 ? 0 : static_cast<double>(in_time) / static_cast<double>(requests);
     }
 };
 
@@ -62,7 +62,7 @@
 
     void add(simulated_target target);
     simulated_target& target(const std::string& id) { return targets_.at(id); }
-    caller_outcome& of(const std::string& caller) { return outcomes_[caller]; }
+    caller_outcome& outcome_of(const std::string& caller) { return outcomes_[caller]; }
     caller_outcome total() const;
     time_point now() const { return now_; }
     std::mt19937_64& random() { return random_; }
@@ -80,7 +80,7 @@
     };
     struct running {
         simulated_request request;
-        time_point asked;
+        time_point requested_at;
     };
 
     std::mt19937_64 random_;
--- a/tests/policy/step_placement_tests.cpp
+++ b/tests/policy/step_placement_tests.cpp
@@ -11,8 +11,8 @@
 {
     std::vector<engine_view> engines;
     engines.reserve(8);
-    for (int place = 0; place < 8; ++place) {
-        engines.push_back({"engine-" + std::to_string(place), 0, 16, 3, true});
+    for (int index = 0; index < 8; ++index) {
+        engines.push_back({"engine-" + std::to_string(index), 0, 16, 3, true});
     }
     return engines;
 }
@@ -24,12 +24,12 @@
     for (std::uint64_t group = 0; group < 16; ++group) {
         std::map<std::size_t, int> used;
         for (int sample = 0; sample < 4; ++sample) {
-            const auto place = place_sample(engines, {group, 0, {}});
-            ASSERT_TRUE(place.has_value());
-            ++engines[*place].in_flight;
-            ++used[*place];
+            const auto index = place_sample(engines, {group, 0, {}});
+            ASSERT_TRUE(index.has_value());
+            ++engines[*index].in_flight;
+            ++used[*index];
         }
-        for (const auto& [place, count] : used) {
+        for (const auto& [index, count] : used) {
             together += count > 1 ? count : 0;
         }
     }
--- a/tests/policy/wave_plan_tests.cpp
+++ b/tests/policy/wave_plan_tests.cpp
@@ -12,11 +12,11 @@
 std::vector<wave_engine> engines_at(std::size_t count, std::uint64_t version, bool fetch_granted = true)
 {
     std::vector<wave_engine> engines;
-    for (std::size_t place = 0; place < count; ++place) {
+    for (std::size_t index = 0; index < count; ++index) {
         wave_engine engine;
-        engine.id = std::to_string(place);
+        engine.id = std::to_string(index);
         engine.version = version;
-        engine.in_flight = static_cast<int>(count - place);
+        engine.in_flight = static_cast<int>(count - index);
         engine.fetch_granted = fetch_granted;
         engines.push_back(engine);
     }
--- a/tests/policy/weight_load_plan_tests.cpp
+++ b/tests/policy/weight_load_plan_tests.cpp
@@ -10,9 +10,9 @@
 std::vector<model_engine> make_engines(std::size_t count, std::uint64_t version)
 {
     std::vector<model_engine> engines(count);
-    for (std::size_t place = 0; place < count; ++place) {
-        engines[place].id = "e" + std::to_string(place);
-        engines[place].versions = {{"m", version}, {"n", version}};
+    for (std::size_t index = 0; index < count; ++index) {
+        engines[index].id = "e" + std::to_string(index);
+        engines[index].versions = {{"m", version}, {"n", version}};
     }
     return engines;
 }
