--- a/src/gateway/forwarder.cpp
+++ b/src/gateway/forwarder.cpp
@@ -1,6 +1,6 @@
 #include "gateway/internal/forwarded_call.hpp"
 #include "observe/log.hpp"
-#include "policy/background_places.hpp"
+#include "policy/background_capacity.hpp"
 
 #include <algorithm>
 
@@ -58,11 +58,11 @@
         const auto slots = replicas.front()->info.slots;
         policy::pool_options options{.limited = true, .initial_limit = std::max(slots, 1)};
         if (current.own()) {
-            options.initial_limit = policy::background_places(slots);
+            options.initial_limit = policy::background_capacity(slots);
             options.adaptive = false;
         }
         const auto patience =
-            current.own() ? policy::queue_patience::until_due : policy::queue_patience::caller;
+            current.own() ? policy::wait_policy::until_deadline : policy::wait_policy::shed_early;
         gate = std::make_unique<service_gate>(loop_, random_(), options, patience);
         gate->update(replicas, steady::now());
     }
@@ -145,9 +145,9 @@
 
 bool forwarder::may_take(const call& current) const
 {
-    const auto form =
-        current.chosen.kind == route_kind::stream ? policy::answer_form::stream : policy::answer_form::whole;
-    return current.own() || stop_->takes(current.request.arrived, current.deadline, form);
+    const auto form = current.chosen.kind == route_kind::stream ? policy::response_kind::stream
+                                                                : policy::response_kind::complete;
+    return current.own() || stop_->accepts(current.request.arrived, current.deadline, form);
 }
 
 net::task<forwarder::attempt_outcome> forwarder::run(call& current)
@@ -240,15 +240,15 @@
 void forwarder::report(service_gate& gate, const target_ref& at, const attempt_outcome& outcome,
                        duration took)
 {
-    policy::ending_report ended;
+    policy::attempt_report ended;
     ended.latency = took;
     const auto* failed = std::get_if<error>(&outcome.result);
     const bool cancelled = failed != nullptr && failed->code == error_code::cancelled;
     if (cancelled || outcome.not_run) {
-        ended.kind = policy::ending::unknown;
+        ended.kind = policy::attempt_result::unknown;
     }
     else {
-        ended.kind = outcome.succeeded() ? policy::ending::answered : policy::ending::failed;
+        ended.kind = outcome.succeeded() ? policy::attempt_result::answered : policy::attempt_result::failed;
     }
     if (outcome.load) {
         gate.on_load(at->info.lifetime(), *outcome.load);
--- a/tests/policy/step_placement_tests.cpp
+++ b/tests/policy/step_placement_tests.cpp
@@ -11,8 +11,8 @@
 {
     std::vector<engine_view> engines;
     engines.reserve(8);
-    for (int place = 0; place < 8; ++place) {
-        engines.push_back({"engine-" + std::to_string(place), 0, 16, 3, true});
+    for (int index = 0; index < 8; ++index) {
+        engines.push_back({"engine-" + std::to_string(index), 0, 16, 3, true});
     }
     return engines;
 }
@@ -24,12 +24,12 @@
     for (std::uint64_t group = 0; group < 16; ++group) {
         std::map<std::size_t, int> used;
         for (int sample = 0; sample < 4; ++sample) {
-            const auto place = place_sample(engines, {group, 0, {}});
-            ASSERT_TRUE(place.has_value());
-            ++engines[*place].in_flight;
-            ++used[*place];
+            const auto index = place_sample(engines, {group, 0, {}});
+            ASSERT_TRUE(index.has_value());
+            ++engines[*index].in_flight;
+            ++used[*index];
         }
-        for (const auto& [place, count] : used) {
+        for (const auto& [index, count] : used) {
             together += count > 1 ? count : 0;
         }
     }
@@ -59,9 +59,9 @@
                                      {"loading", 0, 4, 3, false},
                                      {"left", 0, 4, 3, true}};
     EXPECT_FALSE(place_sample(engines, {1, 2, "left"}).has_value());
-    EXPECT_FALSE(place_in_turn(engines, {1, 2, "left"}, 1).has_value());
+    EXPECT_FALSE(place_round_robin(engines, {1, 2, "left"}, 1).has_value());
     EXPECT_EQ(place_sample(engines, {1, 2, {}}), 3U);
-    EXPECT_EQ(place_in_turn(engines, {1, 2, {}}, 0), 3U);
+    EXPECT_EQ(place_round_robin(engines, {1, 2, {}}, 0), 3U);
 }
 
 TEST(job_share, follows_weights_and_leaves_every_job_a_place)
