--- a/src/claims/backup.cpp
+++ b/src/claims/backup.cpp
@@ -59,14 +59,14 @@
 
 void backup::close(const claim_pair& pair)
 {
-    auto& through = closed_through_[pair.home.vm];
-    through = std::max(through, pair.home.number);
+    auto& through = closed_through_[pair.primary.vm];
+    through = std::max(through, pair.primary.number);
 }
 
 bool backup::closed(const claim_pair& pair) const
 {
-    const auto found = closed_through_.find(pair.home.vm);
-    return found != closed_through_.end() && pair.home.number <= found->second;
+    const auto found = closed_through_.find(pair.primary.vm);
+    return found != closed_through_.end() && pair.primary.number <= found->second;
 }
 
 verdict backup::take_over(const call_key& key, std::uint64_t fingerprint, std::int64_t wall_ms)
--- a/src/claims/claims.hpp
+++ b/src/claims/claims.hpp
@@ -3,8 +3,8 @@
 #define VANILLAGAUGE_CLAIMS_CLAIMS_HPP
 
 #include "claims/backup.hpp"
-#include "claims/home.hpp"
 #include "claims/key.hpp"
+#include "claims/primary.hpp"
 #include "claims/record.hpp"
 #include "claims/refusal.hpp"
 #include "claims/role.hpp"
--- a/src/claims/key.cpp
+++ b/src/claims/key.cpp
@@ -34,7 +34,7 @@
 
 std::string format_pair(const claim_pair& pair)
 {
-    std::string text = pair.home.vm + separator + std::to_string(pair.home.number);
+    std::string text = pair.primary.vm + separator + std::to_string(pair.primary.number);
     text += separator + pair.backup.vm + separator + std::to_string(pair.backup.number);
     return text;
 }
@@ -53,9 +53,9 @@
         return malformed;
     }
     call_key key;
-    key.pair.home.vm = fields[0];
+    key.pair.primary.vm = fields[0];
     key.pair.backup.vm = fields[2];
-    const bool numbers = parse_number(fields[1], key.pair.home.number) &&
+    const bool numbers = parse_number(fields[1], key.pair.primary.number) &&
                          parse_number(fields[3], key.pair.backup.number) &&
                          parse_number(fields[4], key.expires_ms);
     if (!numbers) {
--- a/src/claims/key.hpp
+++ b/src/claims/key.hpp
@@ -24,13 +24,13 @@
 
 /// The two entry processes, in two failure domains where there are two, that decide on a key.
 struct claim_pair {
-    incarnation home;
+    incarnation primary;
     incarnation backup;
 
     friend bool operator==(const claim_pair&, const claim_pair&) = default;
     friend bool operator<(const claim_pair& left, const claim_pair& right)
     {
-        return std::tie(left.home, left.backup) < std::tie(right.home, right.backup);
+        return std::tie(left.primary, left.backup) < std::tie(right.primary, right.backup);
     }
 };
 
--- a/src/claims/home.cpp
+++ b/src/claims/primary.cpp
@@ -1,4 +1,4 @@
-#include "claims/home.hpp"
+#include "claims/primary.hpp"
 
 #include <algorithm>
 
@@ -16,7 +16,7 @@
 
 } // namespace
 
-home::entry* home::find(const call_key& key)
+primary::entry* primary::find(const call_key& key)
 {
     const auto pair = pairs_.find(key.pair);
     if (pair == pairs_.end()) {
@@ -26,8 +26,8 @@
     return found == pair->second.entries.end() ? nullptr : &found->second;
 }
 
-home_actions home::call(const call_key& key, std::uint64_t fingerprint, asker who, std::int64_t wall_ms,
-                        const std::optional<error>& refused_at_once)
+primary_actions primary::call(const call_key& key, std::uint64_t fingerprint, asker who, std::int64_t wall_ms,
+                              const std::optional<error>& refused_at_once)
 {
     pass(wall_ms);
     if (entry* known = find(key)) {
@@ -49,8 +49,8 @@
     return begin(key, fingerprint, who, refused_at_once);
 }
 
-home_actions home::begin(const call_key& key, std::uint64_t fingerprint, asker who,
-                         const std::optional<error>& refused_at_once)
+primary_actions primary::begin(const call_key& key, std::uint64_t fingerprint, asker who,
+                               const std::optional<error>& refused_at_once)
 {
     if (keys_ >= limits_.keys) {
         return {reply_error(who, refuse(refusal::overfull))};
@@ -67,7 +67,7 @@
     return {send_record{key, fingerprint}};
 }
 
-std::optional<error> home::reason_to_refuse(const pair_memory& pair) const
+std::optional<error> primary::reason_to_refuse(const pair_memory& pair) const
 {
     if (frozen_) {
         return refuse(refusal::stopping);
@@ -82,7 +82,7 @@
     return {};
 }
 
-home_actions home::acknowledged(const call_key& key, std::int64_t wall_ms)
+primary_actions primary::acknowledged(const call_key& key, std::int64_t wall_ms)
 {
     horizon_.advance(wall_ms);
     entry* item = find(key);
@@ -99,7 +99,7 @@
     return {dispatch_call{key, item->waiting.front()}};
 }
 
-home_actions home::refused(const call_key& key, refusal why)
+primary_actions primary::refused(const call_key& key, refusal why)
 {
     entry* item = find(key);
     if (item == nullptr || item->state != phase::recording) {
@@ -113,7 +113,7 @@
     return actions;
 }
 
-home_actions home::finished(const call_key& key, const outcome& answer)
+primary_actions primary::finished(const call_key& key, const outcome& answer)
 {
     entry* item = find(key);
     if (item == nullptr || item->state != phase::running) {
@@ -125,9 +125,9 @@
     return actions;
 }
 
-home_actions home::settle(const call_key& key, entry& item, const outcome& answer)
+primary_actions primary::settle(const call_key& key, entry& item, const outcome& answer)
 {
-    home_actions actions;
+    primary_actions actions;
     for (const auto who : item.waiting) {
         actions.push_back(reply_to{who, {answer, !actions.empty()}});
     }
@@ -141,7 +141,7 @@
     return actions;
 }
 
-home_actions home::leave(const call_key& key, asker who)
+primary_actions primary::leave(const call_key& key, asker who)
 {
     entry* item = find(key);
     if (item == nullptr || std::erase(item->waiting, who) == 0) {
@@ -150,7 +150,7 @@
     return {reply_error(who, refuse(refusal::out_of_time))};
 }
 
-void home::pass(std::int64_t wall_ms)
+void primary::pass(std::int64_t wall_ms)
 {
     horizon_.advance(wall_ms);
     if (horizon_.wall_ms() >= next_sweep_ms_) {
@@ -159,7 +159,7 @@
     }
 }
 
-void home::expire(std::int64_t wall_ms)
+void primary::expire(std::int64_t wall_ms)
 {
     horizon_.advance(wall_ms);
     for (auto pair = pairs_.begin(); pair != pairs_.end();) {
@@ -178,7 +178,7 @@
     }
 }
 
-std::map<claim_pair, std::vector<settled_record>> home::memory() const
+std::map<claim_pair, std::vector<settled_record>> primary::memory() const
 {
     std::map<claim_pair, std::vector<settled_record>> all;
     for (const auto& [pair, memory] : pairs_) {
@@ -192,7 +192,7 @@
     return all;
 }
 
-std::size_t home::unsettled() const
+std::size_t primary::unsettled() const
 {
     std::size_t count = 0;
     for (const auto& [pair, memory] : pairs_) {
--- a/src/claims/home.hpp
+++ b/src/claims/primary.hpp
@@ -1,6 +1,6 @@
 /// The home's side of claim pairs: it alone dispatches, and only what the backup has recorded.
-#ifndef VANILLAGAUGE_CLAIMS_HOME_HPP
-#define VANILLAGAUGE_CLAIMS_HOME_HPP
+#ifndef VANILLAGAUGE_CLAIMS_PRIMARY_HPP
+#define VANILLAGAUGE_CLAIMS_PRIMARY_HPP
 
 #include "claims/horizon.hpp"
 #include "claims/record.hpp"
@@ -39,25 +39,25 @@
     claim_pair pair;
 };
 
-using home_action = std::variant<send_record, dispatch_call, send_settled, reply_to, renew_pair>;
-using home_actions = std::vector<home_action>;
+using primary_action = std::variant<send_record, dispatch_call, send_settled, reply_to, renew_pair>;
+using primary_actions = std::vector<primary_action>;
 
-class home {
+class primary {
 public:
-    explicit home(memory_limits limits = {}) : limits_(limits) {}
+    explicit primary(memory_limits limits = {}) : limits_(limits) {}
 
     // Commands.
     /// A call whose key has this process as its home. `refused_at_once` settles an unseen key without a run.
-    home_actions call(const call_key& key, std::uint64_t fingerprint, asker who, std::int64_t wall_ms,
-                      const std::optional<error>& refused_at_once = {});
+    primary_actions call(const call_key& key, std::uint64_t fingerprint, asker who, std::int64_t wall_ms,
+                         const std::optional<error>& refused_at_once = {});
     /// The backup has recorded the claim. Late and doubled acknowledgements have no effect.
-    home_actions acknowledged(const call_key& key, std::int64_t wall_ms);
+    primary_actions acknowledged(const call_key& key, std::int64_t wall_ms);
     /// The claim was not recorded, or nobody knows: the key will never be dispatched.
-    home_actions refused(const call_key& key, refusal why);
+    primary_actions refused(const call_key& key, refusal why);
     /// The target's answer, or the error that stands for it.
-    home_actions finished(const call_key& key, const outcome& answer);
+    primary_actions finished(const call_key& key, const outcome& answer);
     /// The asker's own deadline passed while it waited.
-    home_actions leave(const call_key& key, asker who);
+    primary_actions leave(const call_key& key, asker who);
     /// Frees the memory of expired keys.
     void expire(std::int64_t wall_ms);
     /// Takes no unseen key from now on: the first step of a planned stop.
@@ -93,9 +93,9 @@
 
     void pass(std::int64_t wall_ms);
     entry* find(const call_key& key);
-    home_actions begin(const call_key& key, std::uint64_t fingerprint, asker who,
-                       const std::optional<error>& refused_at_once);
-    home_actions settle(const call_key& key, entry& item, const outcome& answer);
+    primary_actions begin(const call_key& key, std::uint64_t fingerprint, asker who,
+                          const std::optional<error>& refused_at_once);
+    primary_actions settle(const call_key& key, entry& item, const outcome& answer);
     std::optional<error> reason_to_refuse(const pair_memory& pair) const;
 };
 
--- a/src/claims/role.hpp
+++ b/src/claims/role.hpp
@@ -9,10 +9,10 @@
 namespace vanillagauge::claims {
 
 enum class pair_role {
-    home,
+    primary,
     backup,
-    later_home,   ///< this VM's home of the key was an earlier run, whose memory is lost
-    later_backup, ///< the same of the backup
+    restarted_primary, ///< this VM's home of the key was an earlier run, whose memory is lost
+    restarted_backup,  ///< the same of the backup
     neither,
 };
 
--- a/src/entry/claim_calls.cpp
+++ b/src/entry/claim_calls.cpp
@@ -14,8 +14,8 @@
 constexpr milliseconds settled_timeout{2000};
 /// The other side's answer has to travel back before the caller's deadline.
 constexpr milliseconds return_time{30};
-/// Of the time left, while the backup is still to be asked after the home.
-constexpr double home_share = 0.6;
+/// Of the time left, while the backup is still to be asked after the primary.
+constexpr double primary_share = 0.6;
 /// A flood fills at most this much; see docs/design/claims.md.
 constexpr claims::memory_limits shard_limits{
     .keys = 8192, .keys_per_pair = 6144, .answer_bytes = 512U << 10U, .longest_answer = 16U << 10U};
@@ -73,31 +73,31 @@
     auto call = std::make_shared<asked_call>(asked_call{
         request, value(std::move(key)), request_fingerprint(request), deadline, trace, std::move(on_done)});
     switch (role_of(call->key.pair)) {
-    case claims::pair_role::home:
-        at_home(call);
+    case claims::pair_role::primary:
+        at_primary(call);
         return;
     case claims::pair_role::backup:
         at_backup(call);
         return;
-    case claims::pair_role::later_home:
+    case claims::pair_role::restarted_primary:
         ask_backup_to_close(call);
         return;
-    case claims::pair_role::later_backup:
-        ask_home(call, time_left(deadline),
-                 [call] { call->on_done(claims::refuse(claims::refusal::both_gone)); });
+    case claims::pair_role::restarted_backup:
+        ask_primary(call, time_left(deadline),
+                    [call] { call->on_done(claims::refuse(claims::refusal::both_gone)); });
         return;
     case claims::pair_role::neither:
-        ask_home(call,
-                 milliseconds(static_cast<std::int64_t>(home_share *
-                                                        static_cast<double>(time_left(deadline).count()))),
-                 [this, call] { ask_backup(call); });
+        ask_primary(call,
+                    milliseconds(static_cast<std::int64_t>(primary_share *
+                                                           static_cast<double>(time_left(deadline).count()))),
+                    [this, call] { ask_backup(call); });
         return;
     }
 }
 
-// ---- The home's side ----
+// ---- The primary's side ----
 
-void claim_calls::at_home(const asked& call)
+void claim_calls::at_primary(const asked& call)
 {
     const auto who = ++next_asker_;
     const auto refused = runner_.refusal(call->request);
@@ -105,11 +105,11 @@
         const std::lock_guard lock(waiting_mutex_);
         waiting_[who] = {call->request, call->deadline, call->trace, call->on_done};
     }
-    perform(store_.with_home(call->key.pair,
-                             [&](claims::home& home) {
-                                 return home.call(call->key, call->fingerprint, who, wall_milliseconds(),
-                                                  refused);
-                             }),
+    perform(store_.with_primary(call->key.pair,
+                                [&](claims::primary& primary) {
+                                    return primary.call(call->key, call->fingerprint, who,
+                                                        wall_milliseconds(), refused);
+                                }),
             call->trace);
     arm_deadline(who, call->key, call->deadline);
 }
@@ -127,10 +127,10 @@
 
 void claim_calls::leave(const claims::call_key& key, claims::asker who)
 {
-    perform(store_.with_home(key.pair, [&](claims::home& home) { return home.leave(key, who); }));
+    perform(store_.with_primary(key.pair, [&](claims::primary& primary) { return primary.leave(key, who); }));
 }
 
-void claim_calls::perform(const claims::home_actions& actions, const observe::trace_context& trace)
+void claim_calls::perform(const claims::primary_actions& actions, const observe::trace_context& trace)
 {
     for (const auto& action : actions) {
         if (const auto* record = std::get_if<claims::send_record>(&action)) {
@@ -172,22 +172,22 @@
     }
     const bool answered = ok(reply) && value(reply).key() == key_text(action.key);
     if (answered && value(reply).recorded()) {
-        perform(store_.with_home(action.key.pair, [&](claims::home& home) {
-            return home.acknowledged(action.key, wall_milliseconds());
+        perform(store_.with_primary(action.key.pair, [&](claims::primary& primary) {
+            return primary.acknowledged(action.key, wall_milliseconds());
         }));
         return;
     }
     const auto why = answered ? refusal_of(value(reply)) : claims::refusal::backup_unreachable;
     context_.metrics.add("vg_entry_claims_refused_total");
-    perform(
-        store_.with_home(action.key.pair, [&](claims::home& home) { return home.refused(action.key, why); }));
+    perform(store_.with_primary(action.key.pair,
+                                [&](claims::primary& primary) { return primary.refused(action.key, why); }));
 }
 
 void claim_calls::dispatch(const claims::dispatch_call& action)
 {
     const auto finish = [this, key = action.key](const result<v1::CallReply>& answer) {
-        perform(store_.with_home(key.pair,
-                                 [&](claims::home& home) { return home.finished(key, to_outcome(answer)); }));
+        perform(store_.with_primary(
+            key.pair, [&](claims::primary& primary) { return primary.finished(key, to_outcome(answer)); }));
     };
     waiting_call first;
     {
@@ -264,7 +264,7 @@
         take_over(call);
         return;
     }
-    ask_home(call, time_left(call->deadline), [this, call] { take_over(call); });
+    ask_primary(call, time_left(call->deadline), [this, call] { take_over(call); });
 }
 
 void claim_calls::take_over(const asked& call)
@@ -343,19 +343,19 @@
 
 // ---- Asking the others ----
 
-void claim_calls::ask_home(const asked& call, milliseconds timeout, std::function<void()> otherwise)
+void claim_calls::ask_primary(const asked& call, milliseconds timeout, std::function<void()> otherwise)
 {
     if (timeout.count() <= 0) {
         call->on_done(claims::refuse(claims::refusal::out_of_time));
         return;
     }
-    link_.forward(call->key.pair.home.vm, with_deadline(call->request, timeout), {timeout, call->trace},
+    link_.forward(call->key.pair.primary.vm, with_deadline(call->request, timeout), {timeout, call->trace},
                   [call, otherwise = std::move(otherwise)](const result<v1::ClaimVerdict>& reply) {
                       if (ok(reply) && value(reply).decided()) {
                           call->on_done(from_verdict(value(reply), call->request));
                           return;
                       }
-                      // The call may be running at a home that is slow: closing its pair would end every
+                      // The call may be running at a primary that is slow: closing its pair would end every
                       // other call under it, so the deadline alone is no reason for a takeover.
                       if (!ok(reply) && failure(reply).code == error_code::deadline_exceeded &&
                           time_left(call->deadline) <= return_time) {
@@ -376,8 +376,8 @@
                   });
 }
 
-/// This VM's home of the key was an earlier run, which may have dispatched it: only the backup can tell, and
-/// only once it has closed the pair.
+/// This VM's primary of the key was an earlier run, which may have dispatched it: only the backup can tell,
+/// and only once it has closed the pair.
 void claim_calls::ask_backup_to_close(const asked& call)
 {
     v1::ClaimPairRequest request;
--- a/src/entry/claim_calls.hpp
+++ b/src/entry/claim_calls.hpp
@@ -56,7 +56,7 @@
     void start_expiry();
 
 private:
-    /// One request that waits at its home for the key's outcome.
+    /// One request that waits at its primary for the key's outcome.
     struct waiting_call {
         v1::CallRequest request;
         time_point deadline;
@@ -85,16 +85,16 @@
     std::map<claims::asker, waiting_call> waiting_;
 
     claims::pair_role role_of(const claims::claim_pair& pair) const;
-    void at_home(const asked& call);
+    void at_primary(const asked& call);
     void at_backup(const asked& call);
     void take_over(const asked& call);
     void ask_backup_to_close(const asked& call);
-    void ask_home(const asked& call, milliseconds timeout, std::function<void()> otherwise);
+    void ask_primary(const asked& call, milliseconds timeout, std::function<void()> otherwise);
     void ask_backup(const asked& call);
 
     void arm_deadline(claims::asker who, const claims::call_key& key, time_point deadline);
     void leave(const claims::call_key& key, claims::asker who);
-    void perform(const claims::home_actions& actions, const observe::trace_context& trace = {});
+    void perform(const claims::primary_actions& actions, const observe::trace_context& trace = {});
     void send_record(const claims::send_record& action, const observe::trace_context& trace, int attempt);
     void on_recorded(const claims::send_record& action, const observe::trace_context& trace, int attempt,
                      const result<v1::ClaimReply>& reply);
--- a/src/entry/claim_hand_over.cpp
+++ b/src/entry/claim_hand_over.cpp
@@ -1,4 +1,4 @@
-// The planned stop of a home, and the slow clock that frees memory.
+// The planned stop of a primary, and the slow clock that frees memory.
 
 #include "entry/claim_calls.hpp"
 #include "entry/claim_wire.hpp"
--- a/src/entry/claim_store.cpp
+++ b/src/entry/claim_store.cpp
@@ -7,7 +7,7 @@
 claim_store::claim_store(claims::memory_limits limits_per_shard)
 {
     for (auto& part : parts_) {
-        part.home = claims::home(limits_per_shard);
+        part.primary = claims::primary(limits_per_shard);
         part.backup = claims::backup(limits_per_shard);
     }
 }
@@ -21,7 +21,7 @@
 {
     for (auto& part : parts_) {
         const std::lock_guard lock(part.mutex);
-        part.home.freeze();
+        part.primary.freeze();
     }
 }
 
@@ -29,7 +29,7 @@
 {
     for (auto& part : parts_) {
         const std::lock_guard lock(part.mutex);
-        part.home.expire(wall_ms);
+        part.primary.expire(wall_ms);
         part.backup.expire(wall_ms);
     }
 }
@@ -39,7 +39,7 @@
     std::size_t count = 0;
     for (const auto& part : parts_) {
         const std::lock_guard lock(part.mutex);
-        count += part.home.unsettled();
+        count += part.primary.unsettled();
     }
     return count;
 }
@@ -49,7 +49,7 @@
     std::size_t count = 0;
     for (const auto& part : parts_) {
         const std::lock_guard lock(part.mutex);
-        count += part.home.keys() + part.backup.keys();
+        count += part.primary.keys() + part.backup.keys();
     }
     return count;
 }
@@ -59,7 +59,7 @@
     std::map<claims::claim_pair, std::vector<claims::settled_record>> all;
     for (const auto& part : parts_) {
         const std::lock_guard lock(part.mutex);
-        all.merge(part.home.memory());
+        all.merge(part.primary.memory());
     }
     return all;
 }
--- a/src/entry/claim_store.hpp
+++ b/src/entry/claim_store.hpp
@@ -17,20 +17,20 @@
 
     explicit claim_store(claims::memory_limits limits_per_shard);
 
-    /// Runs `use` with the shard's home side, locked.
+    /// Runs `use` with the shard's primary side, locked.
     template <class Use>
-    auto with_home(const claims::claim_pair& pair, Use use)
+    auto with_primary(const claims::claim_pair& pair, Use use)
     {
         auto& part = at(pair.backup.vm);
         const std::lock_guard lock(part.mutex);
-        return use(part.home);
+        return use(part.primary);
     }
 
     /// Runs `use` with the shard's backup side, locked.
     template <class Use>
     auto with_backup(const claims::claim_pair& pair, Use use)
     {
-        auto& part = at(pair.home.vm);
+        auto& part = at(pair.primary.vm);
         const std::lock_guard lock(part.mutex);
         return use(part.backup);
     }
@@ -44,7 +44,7 @@
 private:
     struct shard {
         mutable std::mutex mutex;
-        claims::home home;
+        claims::primary primary;
         claims::backup backup;
     };
     std::array<shard, shards> parts_;
--- a/src/entry/claim_wire.hpp
+++ b/src/entry/claim_wire.hpp
@@ -35,7 +35,7 @@
 result<std::uint64_t> parse_fingerprint(const std::string& text);
 
 std::string_view name(claims::record_verdict verdict);
-/// Why the home refuses a claim that its backup did not record.
+/// Why the primary refuses a claim that its backup did not record.
 claims::refusal refusal_of(const v1::ClaimReply& reply);
 
 } // namespace vanillagauge::entry
--- a/src/entry/locate.cpp
+++ b/src/entry/locate.cpp
@@ -134,16 +134,16 @@
     location found;
     add_addresses(lost, most_addresses - 1, found.addresses);
     add_addresses(fronts, most_addresses - found.addresses.size(), found.addresses);
-    const auto& home = fronts.front();
-    const auto other_domain = std::find_if(fronts.begin(), fronts.end(), [&home](const front& item) {
-        return item.node.failure_domain != home.node.failure_domain;
+    const auto& primary = fronts.front();
+    const auto other_domain = std::find_if(fronts.begin(), fronts.end(), [&primary](const front& item) {
+        return item.node.failure_domain != primary.node.failure_domain;
     });
     const auto& backup = other_domain != fronts.end() ? *other_domain : fronts.back();
     // No key is minted by a node that is cut off: its pairs could not record a claim, or not hand out the
     // answer.
-    if (backup.node.vm != home.node.vm && !view.isolated) {
+    if (backup.node.vm != primary.node.vm && !view.isolated) {
         const auto expires = question.wall_ms + key_life.count();
-        found.key_prefix = claims::format_prefix({identity(home), identity(backup)}, expires, nonce());
+        found.key_prefix = claims::format_prefix({identity(primary), identity(backup)}, expires, nonce());
     }
     return found;
 }
--- a/tests/claims/interleaving_tests.cpp
+++ b/tests/claims/interleaving_tests.cpp
@@ -17,7 +17,7 @@
 constexpr std::int64_t expiry_ms = 2000;
 
 enum class event {
-    call_home,
+    call_primary,
     call_backup,
     deliver_record,
     deliver_acknowledgement,
@@ -28,14 +28,14 @@
     deliver_settled,
     freeze,
     hand_over,
-    restart_home,
+    restart_primary,
     restart_backup,
-    home_clock,
+    primary_clock,
     backup_clock,
 };
 
 struct step {
-    event what = event::call_home;
+    event what = event::call_primary;
     std::size_t pick = 0; ///< which message, key or request
 };
 
@@ -51,8 +51,8 @@
     {
         pick_ = item.pick;
         switch (item.what) {
-        case event::call_home:
-            call_home();
+        case event::call_primary:
+            call_primary();
             break;
         case event::call_backup:
             call_backup();
@@ -61,39 +61,41 @@
             deliver_record();
             break;
         case event::deliver_acknowledgement:
-            with(acknowledgements_, [this](const call_key& key) { take(home_.acknowledged(key, home_ms_)); });
+            with(acknowledgements_,
+                 [this](const call_key& key) { take(primary_.acknowledged(key, primary_ms_)); });
             break;
         case event::deliver_refusal:
-            with(refusals_, [this](const call_key& key) { take(home_.refused(key, refusal::pair_closed)); });
+            with(refusals_,
+                 [this](const call_key& key) { take(primary_.refused(key, refusal::pair_closed)); });
             break;
         case event::time_out:
-            take(home_.refused(key(), refusal::backup_unreachable));
+            take(primary_.refused(key(), refusal::backup_unreachable));
             break;
         case event::dispatch:
             dispatch();
             break;
         case event::finish:
-            with(running_, [this](const call_key& key) { take(home_.finished(key, answer_of(key))); });
+            with(running_, [this](const call_key& key) { take(primary_.finished(key, answer_of(key))); });
             break;
         case event::deliver_settled:
             with(settled_, [this](const settled_record& record) { backup_.settle(record, backup_ms_); });
             break;
         case event::freeze:
-            home_.freeze();
+            primary_.freeze();
             break;
         case event::hand_over:
             hand_over();
             break;
-        case event::restart_home:
-            restart_home();
+        case event::restart_primary:
+            restart_primary();
             break;
         case event::restart_backup:
             backup_ = backup();
             backup_original_ = false;
             break;
-        case event::home_clock:
-            home_ms_ = start_ms + static_cast<std::int64_t>(pick_ % 7) * 200; // may step back
-            home_.expire(home_ms_);
+        case event::primary_clock:
+            primary_ms_ = start_ms + static_cast<std::int64_t>(pick_ % 7) * 200; // may step back
+            primary_.expire(primary_ms_);
             break;
         case event::backup_clock:
             backup_ms_ = start_ms + static_cast<std::int64_t>(pick_ % 7) * 200;
@@ -105,11 +107,11 @@
     int dispatches() const { return dispatches_; }
 
 private:
-    home home_;
+    primary primary_;
     backup backup_;
-    bool home_original_ = true;
+    bool primary_original_ = true;
     bool backup_original_ = true;
-    std::int64_t home_ms_ = start_ms;
+    std::int64_t primary_ms_ = start_ms;
     std::int64_t backup_ms_ = start_ms;
     std::size_t pick_ = 0;
     asker next_ = 0;
@@ -139,15 +141,15 @@
     std::uint64_t request() const { return (pick_ / key_count) % request_count; }
     outcome answer_of(const call_key& ran) const { return std::to_string(run_by_.at(ran.suffix)); }
 
-    void call_home()
+    void call_primary()
     {
-        if (!home_original_) {
+        if (!primary_original_) {
             // A later run of the home knows nothing and has the backup decide.
             call_backup();
             return;
         }
         askers_[++next_] = {key(), request()};
-        take(home_.call(key(), request(), next_, home_ms_));
+        take(primary_.call(key(), request(), next_, primary_ms_));
     }
 
     void call_backup()
@@ -193,24 +195,24 @@
 
     void hand_over()
     {
-        if (!home_original_ || !backup_original_ || home_.unsettled() > 0) {
+        if (!primary_original_ || !backup_original_ || primary_.unsettled() > 0) {
             return;
         }
-        home_.freeze();
-        for (const auto& [handed, records] : home_.memory()) {
+        primary_.freeze();
+        for (const auto& [handed, records] : primary_.memory()) {
             backup_.accept(handed, records, backup_ms_);
         }
     }
 
-    void restart_home()
+    void restart_primary()
     {
-        home_ = home();
-        home_original_ = false;
+        primary_ = primary();
+        primary_original_ = false;
         granted_.clear();
         running_.clear();
     }
 
-    void take(const home_actions& actions)
+    void take(const primary_actions& actions)
     {
         for (const auto& action : actions) {
             if (const auto* record = std::get_if<send_record>(&action)) {
@@ -250,7 +252,7 @@
 rc::Gen<step> any_step()
 {
     // Restarts, stops and clock steps end most of a history, so they are drawn seldom.
-    const auto what = rc::gen::weightedElement<event>({{12, event::call_home},
+    const auto what = rc::gen::weightedElement<event>({{12, event::call_primary},
                                                        {1, event::call_backup},
                                                        {12, event::deliver_record},
                                                        {12, event::deliver_acknowledgement},
@@ -261,9 +263,9 @@
                                                        {6, event::deliver_settled},
                                                        {1, event::freeze},
                                                        {1, event::hand_over},
-                                                       {1, event::restart_home},
+                                                       {1, event::restart_primary},
                                                        {1, event::restart_backup},
-                                                       {1, event::home_clock},
+                                                       {1, event::primary_clock},
                                                        {1, event::backup_clock}});
     return rc::gen::apply(
         [](event chosen, std::size_t pick) {
--- a/tests/claims/pair_tests.cpp
+++ b/tests/claims/pair_tests.cpp
@@ -17,7 +17,7 @@
 }
 
 template <class Action>
-std::vector<Action> all(const home_actions& actions)
+std::vector<Action> all(const primary_actions& actions)
 {
     std::vector<Action> found;
     for (const auto& action : actions) {
@@ -28,7 +28,7 @@
     return found;
 }
 
-error only_error(const home_actions& actions)
+error only_error(const primary_actions& actions)
 {
     const auto replies = all<reply_to>(actions);
     EXPECT_EQ(replies.size(), 1U);
@@ -36,18 +36,18 @@
 }
 
 /// A home that has run one call to its answer.
-home settled_home(const call_key& ran)
+primary settled_primary(const call_key& ran)
 {
-    home side;
+    primary side;
     side.call(ran, charge, 1, now);
     side.acknowledged(ran, now);
     side.finished(ran, std::string("paid"));
     return side;
 }
 
-TEST(home_side, dispatches_only_once_the_backup_has_recorded_the_claim)
+TEST(primary_side, dispatches_only_once_the_backup_has_recorded_the_claim)
 {
-    home side;
+    primary side;
     const auto asked = side.call(key("a"), charge, 1, now);
     EXPECT_EQ(all<send_record>(asked).size(), 1U);
     EXPECT_TRUE(all<dispatch_call>(asked).empty());
@@ -55,9 +55,9 @@
     EXPECT_EQ(all<dispatch_call>(recorded).size(), 1U);
 }
 
-TEST(home_side, a_doubled_or_crossed_acknowledgement_dispatches_nothing)
+TEST(primary_side, a_doubled_or_crossed_acknowledgement_dispatches_nothing)
 {
-    home side;
+    primary side;
     side.call(key("a"), charge, 1, now);
     EXPECT_TRUE(side.acknowledged(key("b"), now).empty());
     EXPECT_EQ(side.acknowledged(key("a"), now).size(), 1U);
@@ -66,18 +66,18 @@
     EXPECT_TRUE(side.acknowledged(key("a"), now).empty());
 }
 
-TEST(home_side, a_repeat_gets_the_known_answer_without_a_run)
+TEST(primary_side, a_repeat_gets_the_known_answer_without_a_run)
 {
-    auto side = settled_home(key("a"));
+    auto side = settled_primary(key("a"));
     const auto replies = all<reply_to>(side.call(key("a"), charge, 2, now));
     ASSERT_EQ(replies.size(), 1U);
     EXPECT_TRUE(replies[0].answer.repeated);
     EXPECT_EQ(value(replies[0].answer.answer), "paid");
 }
 
-TEST(home_side, a_repeat_during_the_run_gets_the_answer_of_the_first)
+TEST(primary_side, a_repeat_during_the_run_gets_the_answer_of_the_first)
 {
-    home side;
+    primary side;
     side.call(key("a"), charge, 1, now);
     side.acknowledged(key("a"), now);
     EXPECT_TRUE(side.call(key("a"), charge, 2, now).empty());
@@ -87,17 +87,17 @@
     EXPECT_TRUE(replies[1].answer.repeated);
 }
 
-TEST(home_side, another_request_under_a_used_key_is_refused)
+TEST(primary_side, another_request_under_a_used_key_is_refused)
 {
-    auto side = settled_home(key("a"));
+    auto side = settled_primary(key("a"));
     const auto refused = only_error(side.call(key("a"), other_charge, 2, now));
     EXPECT_EQ(refused.code, error_code::conflict);
     EXPECT_EQ(refused.ran, run_state::not_run);
 }
 
-TEST(home_side, a_refused_claim_stays_refused_when_its_acknowledgement_comes_late)
+TEST(primary_side, a_refused_claim_stays_refused_when_its_acknowledgement_comes_late)
 {
-    home side;
+    primary side;
     side.call(key("a"), charge, 1, now);
     EXPECT_EQ(only_error(side.refused(key("a"), refusal::backup_unreachable)).ran, run_state::not_run);
     EXPECT_TRUE(side.acknowledged(key("a"), now).empty());
@@ -106,9 +106,9 @@
     EXPECT_EQ(only_error(again).ran, run_state::not_run);
 }
 
-TEST(home_side, a_closed_pair_is_renewed_once_and_refuses_further_keys_at_once)
+TEST(primary_side, a_closed_pair_is_renewed_once_and_refuses_further_keys_at_once)
 {
-    home side;
+    primary side;
     side.call(key("a"), charge, 1, now);
     side.call(key("b"), charge, 2, now);
     EXPECT_EQ(all<renew_pair>(side.refused(key("a"), refusal::pair_closed)).size(), 1U);
@@ -118,9 +118,9 @@
     EXPECT_EQ(only_error(third).ran, run_state::not_run);
 }
 
-TEST(home_side, an_expired_key_is_in_doubt_and_never_run_even_if_the_clock_steps_back)
+TEST(primary_side, an_expired_key_is_in_doubt_and_never_run_even_if_the_clock_steps_back)
 {
-    auto side = settled_home(key("a"));
+    auto side = settled_primary(key("a"));
     side.expire(expiry);
     EXPECT_EQ(side.keys(), 0U);
     const auto late = side.call(key("a"), charge, 2, now);
@@ -129,18 +129,18 @@
     EXPECT_EQ(only_error(late).ran, run_state::in_doubt);
 }
 
-TEST(home_side, a_key_that_expires_while_it_is_recorded_is_not_dispatched)
+TEST(primary_side, a_key_that_expires_while_it_is_recorded_is_not_dispatched)
 {
-    home side;
+    primary side;
     side.call(key("a"), charge, 1, now);
     const auto late = side.acknowledged(key("a"), expiry);
     EXPECT_TRUE(all<dispatch_call>(late).empty());
     EXPECT_EQ(only_error(late).ran, run_state::not_run);
 }
 
-TEST(home_side, a_key_that_expires_during_its_run_still_answers_its_callers)
+TEST(primary_side, a_key_that_expires_during_its_run_still_answers_its_callers)
 {
-    home side;
+    primary side;
     side.call(key("a"), charge, 1, now);
     side.acknowledged(key("a"), now);
     side.expire(expiry + 1);
@@ -148,17 +148,17 @@
     EXPECT_EQ(side.keys(), 0U);
 }
 
-TEST(home_side, a_claim_that_nobody_waits_for_is_not_dispatched)
+TEST(primary_side, a_claim_that_nobody_waits_for_is_not_dispatched)
 {
-    home side;
+    primary side;
     side.call(key("a"), charge, 1, now);
     EXPECT_EQ(only_error(side.leave(key("a"), 1)).ran, run_state::in_doubt);
     EXPECT_TRUE(all<dispatch_call>(side.acknowledged(key("a"), now)).empty());
 }
 
-TEST(home_side, a_stopping_home_takes_no_new_key_and_hands_over_what_it_knows)
+TEST(primary_side, a_stopping_primary_takes_no_new_key_and_hands_over_what_it_knows)
 {
-    auto side = settled_home(key("a"));
+    auto side = settled_primary(key("a"));
     side.freeze();
     EXPECT_EQ(only_error(side.call(key("b"), charge, 2, now)).code, error_code::draining);
     EXPECT_EQ(side.unsettled(), 0U);
@@ -167,9 +167,9 @@
     EXPECT_EQ(memory.at(pair).size(), 2U);
 }
 
-TEST(home_side, a_flood_of_keys_is_refused_within_the_bound)
+TEST(primary_side, a_flood_of_keys_is_refused_within_the_bound)
 {
-    home side(memory_limits{.keys = 8, .keys_per_pair = 8});
+    primary side(memory_limits{.keys = 8, .keys_per_pair = 8});
     int admitted = 0;
     for (int place = 0; place < 20; ++place) {
         const auto id = "k" + std::to_string(place);
@@ -188,9 +188,9 @@
     EXPECT_EQ(all<send_record>(side.call(key("new", expiry + 1), charge, 100, expiry)).size(), 1U);
 }
 
-TEST(home_side, an_answer_too_long_to_remember_is_delivered_and_repeats_learn_that_it_ran)
+TEST(primary_side, an_answer_too_long_to_remember_is_delivered_and_repeats_learn_that_it_ran)
 {
-    home side(memory_limits{.longest_answer = 4});
+    primary side(memory_limits{.longest_answer = 4});
     side.call(key("a"), charge, 1, now);
     side.acknowledged(key("a"), now);
     const auto replies = all<reply_to>(side.finished(key("a"), std::string("a long receipt")));
@@ -240,7 +240,7 @@
     EXPECT_EQ(failure(told.answer).ran, run_state::in_doubt);
 }
 
-TEST(backup_side, closing_covers_older_incarnations_of_the_home_and_no_newer_one)
+TEST(backup_side, closing_covers_older_incarnations_of_the_primary_and_no_newer_one)
 {
     backup side;
     side.close(pair);
@@ -270,11 +270,11 @@
 
 TEST(pair_role, a_restarted_process_is_a_stranger_to_its_older_keys)
 {
-    EXPECT_EQ(role_of(pair, "vm-1", {7}), pair_role::home);
-    EXPECT_EQ(role_of(pair, "vm-1", {8}), pair_role::later_home);
-    EXPECT_EQ(role_of(pair, "vm-1", {7, 8}), pair_role::home);
+    EXPECT_EQ(role_of(pair, "vm-1", {7}), pair_role::primary);
+    EXPECT_EQ(role_of(pair, "vm-1", {8}), pair_role::restarted_primary);
+    EXPECT_EQ(role_of(pair, "vm-1", {7, 8}), pair_role::primary);
     EXPECT_EQ(role_of(pair, "vm-2", {9}), pair_role::backup);
-    EXPECT_EQ(role_of(pair, "vm-2", {10}), pair_role::later_backup);
+    EXPECT_EQ(role_of(pair, "vm-2", {10}), pair_role::restarted_backup);
     EXPECT_EQ(role_of(pair, "vm-3", {9}), pair_role::neither);
 }
 
--- a/tests/claims/sockets_tests.cpp
+++ b/tests/claims/sockets_tests.cpp
@@ -184,7 +184,7 @@
 struct fleet {
     keeper_stand_in keeper;
     target_log log;
-    std::unique_ptr<entry_process> home = start("home", first_run);
+    std::unique_ptr<entry_process> primary = start("home", first_run);
     std::unique_ptr<entry_process> backup = start("backup", first_run);
     std::unique_ptr<entry_process> third = start("third", first_run);
 
@@ -197,7 +197,7 @@
 
     void meet() const
     {
-        for (const auto* process : {home.get(), backup.get(), third.get()}) {
+        for (const auto* process : {primary.get(), backup.get(), third.get()}) {
             if (process != nullptr) {
                 process->know(keeper.told());
             }
@@ -229,7 +229,7 @@
     const auto first = all.third->call(key, "r1");
     ASSERT_TRUE(ok(first)) << describe(failure(first));
     EXPECT_FALSE(value(first).repeated());
-    for (auto* process : {all.home.get(), all.backup.get(), all.third.get()}) {
+    for (auto* process : {all.primary.get(), all.backup.get(), all.third.get()}) {
         const auto again = process->call(key, "r2");
         ASSERT_TRUE(ok(again)) << describe(failure(again));
         EXPECT_TRUE(value(again).repeated());
@@ -244,7 +244,7 @@
     fleet all;
     const auto key = key_of("-a");
     ASSERT_TRUE(ok(all.third->call(key)));
-    for (auto* process : {all.home.get(), all.third.get()}) {
+    for (auto* process : {all.primary.get(), all.third.get()}) {
         const auto other = process->call(key, "r2", "charge 9");
         ASSERT_FALSE(ok(other));
         EXPECT_EQ(failure(other).code, error_code::conflict);
@@ -256,7 +256,7 @@
 {
     fleet all;
     for (const std::string key : {"", "no key"}) {
-        const auto answer = all.home->call(key);
+        const auto answer = all.primary->call(key);
         ASSERT_FALSE(ok(answer));
         EXPECT_EQ(failure(answer).code, error_code::invalid_argument);
         EXPECT_EQ(failure(answer).ran, run_state::not_run);
@@ -265,27 +265,27 @@
 
 // The home is lost after one call. A repeat gets the answer from the backup's memory; a key that the home
 // never claimed is "not run", and since the pair is closed it stays so.
-TEST(claims_on_sockets, with_the_home_dead_the_backup_answers_from_memory)
+TEST(claims_on_sockets, with_the_primary_dead_the_backup_answers_from_memory)
 {
     fleet all;
     const auto ran = key_of("-ran");
     const auto unseen = key_of("-unseen");
-    ASSERT_TRUE(ok(all.home->call(ran)));
-    all.home->disappear();
+    ASSERT_TRUE(ok(all.primary->call(ran)));
+    all.primary->disappear();
     EXPECT_EQ(run_state_of(all.third->call(unseen)), run_state::not_run);
     EXPECT_EQ(run_state_of(settled_repeat(*all.third, ran)), run_state::ran);
     // The home is only cut off from its peers: it still takes calls, but its claims are refused.
-    EXPECT_EQ(run_state_of(all.home->call(unseen)), run_state::not_run);
+    EXPECT_EQ(run_state_of(all.primary->call(unseen)), run_state::not_run);
     EXPECT_EQ(all.log.runs_of(unseen), 0);
     EXPECT_EQ(all.log.runs_of(ran), 1);
 }
 
-TEST(claims_on_sockets, with_the_backup_dead_the_home_runs_nothing_new)
+TEST(claims_on_sockets, with_the_backup_dead_the_primary_runs_nothing_new)
 {
     fleet all;
     all.backup->disappear();
     const auto key = key_of("-a");
-    EXPECT_EQ(run_state_of(all.home->call(key)), run_state::not_run);
+    EXPECT_EQ(run_state_of(all.primary->call(key)), run_state::not_run);
     EXPECT_EQ(run_state_of(all.third->call(key)), run_state::not_run);
     EXPECT_EQ(all.log.runs_of(key), 0);
 }
@@ -294,8 +294,8 @@
 {
     fleet all;
     const auto key = key_of("-a");
-    ASSERT_TRUE(ok(all.home->call(key)));
-    all.home->disappear();
+    ASSERT_TRUE(ok(all.primary->call(key)));
+    all.primary->disappear();
     all.backup->disappear();
     EXPECT_EQ(run_state_of(all.third->call(key)), run_state::in_doubt);
     EXPECT_EQ(all.log.runs_of(key), 1);
@@ -309,9 +309,9 @@
     const silent_process silent;
     all.keeper.tell("backup", silent.address());
     const auto key = key_of("-a");
-    auto home = all.start("home", first_run);
-    home->know(all.keeper.told());
-    const auto answer = home->call(key);
+    auto primary = all.start("home", first_run);
+    primary->know(all.keeper.told());
+    const auto answer = primary->call(key);
     ASSERT_FALSE(ok(answer));
     EXPECT_EQ(failure(answer).ran, run_state::not_run);
     EXPECT_NE(failure(answer).code, error_code::deadline_exceeded);
@@ -320,7 +320,7 @@
 
 // Connections to the home stay open and bring nothing. The backup sees no progress, takes over, and answers
 // within the caller's deadline.
-TEST(claims_on_sockets, with_a_silent_link_to_the_home_the_backup_takes_over)
+TEST(claims_on_sockets, with_a_silent_link_to_the_primary_the_backup_takes_over)
 {
     fleet all;
     const auto key = key_of("-a");
@@ -334,16 +334,16 @@
     EXPECT_EQ(failure(answer).code, error_code::unavailable);
 }
 
-TEST(claims_on_sockets, a_restarted_home_has_its_backup_decide_on_older_keys)
+TEST(claims_on_sockets, a_restarted_primary_has_its_backup_decide_on_older_keys)
 {
     fleet all;
     const auto ran = key_of("-ran");
     const auto unseen = key_of("-unseen");
-    ASSERT_TRUE(ok(all.home->call(ran)));
-    all.home = all.start("home", later_run);
-    all.home->know(all.keeper.told());
-    EXPECT_EQ(run_state_of(all.home->call(unseen)), run_state::not_run);
-    const auto again = settled_repeat(*all.home, ran);
+    ASSERT_TRUE(ok(all.primary->call(ran)));
+    all.primary = all.start("home", later_run);
+    all.primary->know(all.keeper.told());
+    EXPECT_EQ(run_state_of(all.primary->call(unseen)), run_state::not_run);
+    const auto again = settled_repeat(*all.primary, ran);
     ASSERT_TRUE(ok(again)) << describe(failure(again));
     EXPECT_TRUE(value(again).repeated());
     EXPECT_EQ(all.log.runs_of(ran), 1);
@@ -353,12 +353,12 @@
 {
     fleet all;
     const auto key = key_of("-a");
-    ASSERT_TRUE(ok(all.home->call(key)));
-    all.home = all.start("home", later_run);
+    ASSERT_TRUE(ok(all.primary->call(key)));
+    all.primary = all.start("home", later_run);
     all.backup = all.start("backup", later_run);
     all.third = all.start("third", later_run);
     all.meet();
-    for (auto* process : {all.home.get(), all.backup.get(), all.third.get()}) {
+    for (auto* process : {all.primary.get(), all.backup.get(), all.third.get()}) {
         EXPECT_EQ(run_state_of(process->call(key)), run_state::in_doubt);
     }
     EXPECT_EQ(all.log.runs_of(key), 1);
@@ -369,10 +369,10 @@
     fleet all;
     const auto ran = key_of("-ran");
     const auto late = key_of("-late");
-    ASSERT_TRUE(ok(all.home->call(ran)));
-    all.home->calls().hand_over();
-    EXPECT_EQ(run_state_of(all.home->call(late)), run_state::not_run);
-    all.home.reset();
+    ASSERT_TRUE(ok(all.primary->call(ran)));
+    all.primary->calls().hand_over();
+    EXPECT_EQ(run_state_of(all.primary->call(late)), run_state::not_run);
+    all.primary.reset();
     EXPECT_EQ(run_state_of(all.third->call(ran, "r2")), run_state::ran);
     EXPECT_EQ(run_state_of(all.third->call(late)), run_state::not_run);
     EXPECT_EQ(all.log.runs_of(late), 0);
--- a/tools/claims_cost/main.cpp
+++ b/tools/claims_cost/main.cpp
@@ -37,7 +37,7 @@
     return info.uordblks + info.hblkhd;
 }
 
-void play_home(home& side, const std::vector<call_key>& keys, const std::string& answer)
+void play_primary(primary& side, const std::vector<call_key>& keys, const std::string& answer)
 {
     asker who = 0;
     for (const auto& key : keys) {
@@ -90,7 +90,7 @@
     std::printf("%d keys over %d pairs\n", count, pairs);
     for (const std::size_t answer_bytes : {0U, 64U, 256U}) {
         const std::string answer(answer_bytes, 'a');
-        report<home>("home", limits, keys, answer, play_home);
+        report<primary>("home", limits, keys, answer, play_primary);
         report<backup>("backup", limits, keys, answer, play_backup);
     }
     return 0;
