--- a/src/claims/backup.cpp
+++ b/src/claims/backup.cpp
@@ -12,39 +12,39 @@
     return found == pair->second.end() ? nullptr : &found->second;
 }
 
-record_verdict backup::record(const call_key& key, std::uint64_t fingerprint, std::int64_t wall_ms)
+record_status backup::record(const call_key& key, std::uint64_t fingerprint, std::int64_t wall_ms)
 {
-    pass(wall_ms);
+    advance_clock(wall_ms);
     // A home that was paused wakes and sends its claims late. The takeover has already told callers "not run"
     // of every unseen key, so an acknowledgement now would make that untrue.
     if (closed(key.pair)) {
-        return record_verdict::closed;
+        return record_status::closed;
     }
     if (horizon_.expired(key.expires_ms)) {
-        return record_verdict::expired;
+        return record_status::expired;
     }
     if (const auto* known = find(key)) {
-        return known->fingerprint == fingerprint ? record_verdict::recorded : record_verdict::other_request;
+        return known->fingerprint == fingerprint ? record_status::recorded : record_status::other_request;
     }
     const auto pair = pairs_.find(key.pair);
     const bool pair_full = pair != pairs_.end() && pair->second.size() >= limits_.keys_per_pair;
     if (keys_ >= limits_.keys || pair_full) {
-        return record_verdict::full;
+        return record_status::full;
     }
     pairs_[key.pair][id_of(key)].fingerprint = fingerprint;
     ++keys_;
-    return record_verdict::recorded;
+    return record_status::recorded;
 }
 
-void backup::keep(entry& item, const outcome& answer)
+void backup::store_answer(entry& item, const outcome& answer)
 {
-    item.answer = std::make_unique<outcome>(bounded(answer, answer_bytes_, limits_));
+    item.answer = std::make_unique<outcome>(retained_outcome(answer, answer_bytes_, limits_));
     answer_bytes_ += answer_size(*item.answer);
 }
 
 void backup::settle(const settled_record& record, std::int64_t wall_ms)
 {
-    pass(wall_ms);
+    advance_clock(wall_ms);
     const auto pair = pairs_.find(record.key.pair);
     if (pair == pairs_.end()) {
         return;
@@ -54,7 +54,7 @@
         found->second.answer) {
         return;
     }
-    keep(found->second, record.answer);
+    store_answer(found->second, record.answer);
 }
 
 void backup::close(const claim_pair& pair)
@@ -69,35 +69,36 @@
     return found != closed_through_.end() && pair.primary.number <= found->second;
 }
 
-verdict backup::take_over(const call_key& key, std::uint64_t fingerprint, std::int64_t wall_ms)
+call_reply backup::take_over(const call_key& key, std::uint64_t fingerprint, std::int64_t wall_ms)
 {
     close(key.pair);
-    pass(wall_ms);
+    advance_clock(wall_ms);
     if (horizon_.expired(key.expires_ms)) {
-        return {refuse(refusal::expired)};
+        return {refusal_error(refusal::expired)};
     }
     if (auto known = settled_answer(key, fingerprint)) {
         return std::move(*known);
     }
-    return {refuse(find(key) == nullptr ? refusal::pair_closed : refusal::seen_unsettled)};
+    return {refusal_error(find(key) == nullptr ? refusal::pair_closed : refusal::outcome_unknown)};
 }
 
-std::optional<verdict> backup::settled_answer(const call_key& key, std::uint64_t fingerprint) const
+std::optional<call_reply> backup::settled_answer(const call_key& key, std::uint64_t fingerprint) const
 {
     const auto* known = find(key);
     if (known == nullptr) {
         return {};
     }
     if (known->fingerprint != fingerprint) {
-        return verdict{refuse(refusal::other_request)};
+        return call_reply{refusal_error(refusal::other_request)};
     }
     if (!known->answer) {
         return {};
     }
-    return verdict{*known->answer, true};
+    return call_reply{*known->answer, true};
 }
 
-void backup::accept(const claim_pair& pair, const std::vector<settled_record>& records, std::int64_t wall_ms)
+void backup::accept_transfer(const claim_pair& pair, const std::vector<settled_record>& records,
+                             std::int64_t wall_ms)
 {
     close(pair);
     // Every key that ran was recorded here first, so a key that is unseen here is one the home refused: it
@@ -109,12 +110,12 @@
     }
 }
 
-void backup::pass(std::int64_t wall_ms)
+void backup::advance_clock(std::int64_t wall_ms)
 {
     horizon_.advance(wall_ms);
     if (horizon_.wall_ms() >= next_sweep_ms_) {
         expire(wall_ms);
-        next_sweep_ms_ = horizon_.wall_ms() + sweep_every.count();
+        next_sweep_ms_ = horizon_.wall_ms() + sweep_interval.count();
     }
 }
 
--- a/src/claims/backup.hpp
+++ b/src/claims/backup.hpp
@@ -12,7 +12,7 @@
 
 namespace vanillagauge::claims {
 
-enum class record_verdict { recorded, closed, expired, full, other_request };
+enum class record_status { recorded, closed, expired, full, other_request };
 
 class backup {
 public:
@@ -20,22 +20,23 @@
 
     // Commands.
     /// A claim of the home. Only `recorded` lets the home dispatch; a repeat of a recorded claim is recorded.
-    record_verdict record(const call_key& key, std::uint64_t fingerprint, std::int64_t wall_ms);
+    record_status record(const call_key& key, std::uint64_t fingerprint, std::int64_t wall_ms);
     /// The outcome of a recorded claim; also taken after the takeover, since the home knows it ran.
     void settle(const settled_record& record, std::int64_t wall_ms);
     /// Ends recording for the pair and for older incarnations of its home, for good.
     void close(const claim_pair& pair);
     /// Closes the pair and answers from memory: unseen keys never run from now on.
-    verdict take_over(const call_key& key, std::uint64_t fingerprint, std::int64_t wall_ms);
+    call_reply take_over(const call_key& key, std::uint64_t fingerprint, std::int64_t wall_ms);
     /// A stopping home's memory: the pair is closed, and its settled keys are kept until they expire.
-    void accept(const claim_pair& pair, const std::vector<settled_record>& records, std::int64_t wall_ms);
+    void accept_transfer(const claim_pair& pair, const std::vector<settled_record>& records,
+                         std::int64_t wall_ms);
     /// Frees the memory of expired keys.
     void expire(std::int64_t wall_ms);
 
     // Queries.
     bool closed(const claim_pair& pair) const;
     /// The answer, where the key is settled; the home need not be asked.
-    std::optional<verdict> settled_answer(const call_key& key, std::uint64_t fingerprint) const;
+    std::optional<call_reply> settled_answer(const call_key& key, std::uint64_t fingerprint) const;
     std::size_t keys() const { return keys_; }
 
 private:
@@ -55,9 +56,9 @@
     std::size_t keys_ = 0;
     std::size_t answer_bytes_ = 0;
 
-    void pass(std::int64_t wall_ms);
+    void advance_clock(std::int64_t wall_ms);
     const entry* find(const call_key& key) const;
-    void keep(entry& item, const outcome& answer);
+    void store_answer(entry& item, const outcome& answer);
 };
 
 } // namespace vanillagauge::claims
--- a/src/claims/horizon.hpp
+++ b/src/claims/horizon.hpp
@@ -14,17 +14,17 @@
 /// side is right about its own memory whatever its clock does and however far the two clocks differ.
 class horizon {
 public:
-    void advance(std::int64_t wall_ms) { passed_ms_ = std::max(passed_ms_, wall_ms); }
-    bool expired(std::int64_t expires_ms) const { return expires_ms <= passed_ms_; }
-    std::int64_t wall_ms() const { return passed_ms_; }
+    void advance(std::int64_t wall_ms) { latest_ms_ = std::max(latest_ms_, wall_ms); }
+    bool expired(std::int64_t expires_ms) const { return expires_ms <= latest_ms_; }
+    std::int64_t wall_ms() const { return latest_ms_; }
 
 private:
-    std::int64_t passed_ms_ = std::numeric_limits<std::int64_t>::min();
+    std::int64_t latest_ms_ = std::numeric_limits<std::int64_t>::min();
 };
 
 /// A sweep visits every pair, so one for each call would make a call's cost grow with the fleet. Between
 /// sweeps the horizon alone decides what has expired; a few keys are only held in memory a little longer.
-constexpr std::chrono::milliseconds sweep_every{250};
+constexpr std::chrono::milliseconds sweep_interval{250};
 
 } // namespace vanillagauge::claims
 
--- a/src/claims/key.cpp
+++ b/src/claims/key.cpp
@@ -8,7 +8,7 @@
 
 constexpr char separator = '~';
 constexpr std::size_t prefix_fields = 6;
-constexpr std::size_t longest_key = 400;
+constexpr std::size_t max_key_length = 400;
 
 std::vector<std::string> split(const std::string& text)
 {
@@ -49,7 +49,7 @@
     const error malformed{error_code::invalid_argument, run_state::not_run,
                           "expected a key that starts with the key_prefix of a Locate answer"};
     const auto fields = split(text);
-    if (text.size() > longest_key || fields.size() < prefix_fields) {
+    if (text.size() > max_key_length || fields.size() < prefix_fields) {
         return malformed;
     }
     call_key key;
--- a/src/claims/primary.cpp
+++ b/src/claims/primary.cpp
@@ -7,11 +7,11 @@
 
 /// The last quarter of the memory only remembers refusals: a refusal that is forgotten could be followed by a
 /// run of the same key, when a copy of the request arrives late.
-constexpr std::size_t refusals_only_share = 4;
+constexpr std::size_t reserved_divisor = 4;
 
-reply_to reply_error(asker who, const error& failure)
+send_reply reply_error(waiter_id waiter, const error& failure)
 {
-    return {who, {failure, false}};
+    return {waiter, {failure, false}};
 }
 
 } // namespace
@@ -26,58 +26,58 @@
     return found == pair->second.entries.end() ? nullptr : &found->second;
 }
 
-primary_actions primary::call(const call_key& key, std::uint64_t fingerprint, asker who, std::int64_t wall_ms,
-                              const std::optional<error>& refused_at_once)
+primary_actions primary::call(const call_key& key, std::uint64_t fingerprint, waiter_id waiter,
+                              std::int64_t wall_ms, const std::optional<error>& immediate_refusal)
 {
-    pass(wall_ms);
+    advance_clock(wall_ms);
     if (entry* known = find(key)) {
         if (known->fingerprint != fingerprint) {
-            return {reply_error(who, refuse(refusal::other_request))};
+            return {reply_error(waiter, refusal_error(refusal::other_request))};
         }
         if (known->state == phase::settled) {
-            return {reply_to{who, {*known->answer, true}}};
+            return {send_reply{waiter, {*known->answer, true}}};
         }
-        known->waiting.push_back(who);
+        known->waiting.push_back(waiter);
         return {};
     }
     if (horizon_.expired(key.expires_ms)) {
-        return {reply_error(who, refuse(refusal::expired))};
+        return {reply_error(waiter, refusal_error(refusal::expired))};
     }
-    if (key.expires_ms > horizon_.wall_ms() + limits_.longest_life.count()) {
-        return {reply_error(who, refuse(refusal::far_expiry))};
+    if (key.expires_ms > horizon_.wall_ms() + limits_.max_lifetime.count()) {
+        return {reply_error(waiter, refusal_error(refusal::excessive_lifetime))};
     }
-    return begin(key, fingerprint, who, refused_at_once);
+    return begin(key, fingerprint, waiter, immediate_refusal);
 }
 
-primary_actions primary::begin(const call_key& key, std::uint64_t fingerprint, asker who,
-                               const std::optional<error>& refused_at_once)
+primary_actions primary::begin(const call_key& key, std::uint64_t fingerprint, waiter_id waiter,
+                               const std::optional<error>& immediate_refusal)
 {
     if (keys_ >= limits_.keys) {
-        return {reply_error(who, refuse(refusal::overfull))};
+        return {reply_error(waiter, refusal_error(refusal::exhausted))};
     }
     auto& pair = pairs_[key.pair];
-    const auto reason = refused_at_once ? refused_at_once : reason_to_refuse(pair);
+    const auto reason = immediate_refusal ? immediate_refusal : reason_to_refuse(pair);
     auto& item = pair.entries[id_of(key)];
     ++keys_;
     item.fingerprint = fingerprint;
-    item.waiting.push_back(who);
+    item.waiting.push_back(waiter);
     if (reason) {
         return settle(key, item, *reason);
     }
     return {send_record{key, fingerprint}};
 }
 
-std::optional<error> primary::reason_to_refuse(const pair_memory& pair) const
+std::optional<error> primary::reason_to_refuse(const pair_state& pair) const
 {
     if (frozen_) {
-        return refuse(refusal::stopping);
+        return refusal_error(refusal::stopping);
     }
     if (pair.closed) {
-        return refuse(refusal::pair_closed);
+        return refusal_error(refusal::pair_closed);
     }
-    const auto room = limits_.keys - limits_.keys / refusals_only_share;
+    const auto room = limits_.keys - limits_.keys / reserved_divisor;
     if (keys_ >= room || pair.entries.size() >= limits_.keys_per_pair) {
-        return refuse(refusal::full);
+        return refusal_error(refusal::full);
     }
     return {};
 }
@@ -90,10 +90,10 @@
         return {};
     }
     if (horizon_.expired(key.expires_ms)) {
-        return settle(key, *item, refuse(refusal::expired_unrun));
+        return settle(key, *item, refusal_error(refusal::expired_before_run));
     }
     if (item->waiting.empty()) {
-        return settle(key, *item, refuse(refusal::caller_gone));
+        return settle(key, *item, refusal_error(refusal::no_waiters));
     }
     item->state = phase::running;
     return {dispatch_call{key, item->waiting.front()}};
@@ -105,7 +105,7 @@
     if (item == nullptr || item->state != phase::recording) {
         return {};
     }
-    auto actions = settle(key, *item, refuse(why));
+    auto actions = settle(key, *item, refusal_error(why));
     auto& pair = pairs_[key.pair];
     if (why == refusal::pair_closed && !std::exchange(pair.closed, true)) {
         actions.push_back(renew_pair{key.pair});
@@ -128,12 +128,12 @@
 primary_actions primary::settle(const call_key& key, entry& item, const outcome& answer)
 {
     primary_actions actions;
-    for (const auto who : item.waiting) {
-        actions.push_back(reply_to{who, {answer, !actions.empty()}});
+    for (const auto waiter : item.waiting) {
+        actions.push_back(send_reply{waiter, {answer, !actions.empty()}});
     }
     item.waiting = {};
     item.state = phase::settled;
-    item.answer = std::make_unique<outcome>(bounded(answer, answer_bytes_, limits_));
+    item.answer = std::make_unique<outcome>(retained_outcome(answer, answer_bytes_, limits_));
     answer_bytes_ += answer_size(*item.answer);
     if (horizon_.expired(key.expires_ms)) {
         expire(horizon_.wall_ms());
@@ -141,21 +141,21 @@
     return actions;
 }
 
-primary_actions primary::leave(const call_key& key, asker who)
+primary_actions primary::remove_waiter(const call_key& key, waiter_id waiter)
 {
     entry* item = find(key);
-    if (item == nullptr || std::erase(item->waiting, who) == 0) {
+    if (item == nullptr || std::erase(item->waiting, waiter) == 0) {
         return {};
     }
-    return {reply_error(who, refuse(refusal::out_of_time))};
+    return {reply_error(waiter, refusal_error(refusal::deadline_exceeded))};
 }
 
-void primary::pass(std::int64_t wall_ms)
+void primary::advance_clock(std::int64_t wall_ms)
 {
     horizon_.advance(wall_ms);
     if (horizon_.wall_ms() >= next_sweep_ms_) {
         expire(wall_ms);
-        next_sweep_ms_ = horizon_.wall_ms() + sweep_every.count();
+        next_sweep_ms_ = horizon_.wall_ms() + sweep_interval.count();
     }
 }
 
@@ -178,7 +178,7 @@
     }
 }
 
-std::map<claim_pair, std::vector<settled_record>> primary::memory() const
+std::map<claim_pair, std::vector<settled_record>> primary::settled_records() const
 {
     std::map<claim_pair, std::vector<settled_record>> all;
     for (const auto& [pair, memory] : pairs_) {
--- a/src/claims/primary.hpp
+++ b/src/claims/primary.hpp
@@ -14,7 +14,7 @@
 namespace vanillagauge::claims {
 
 /// One waiting request, numbered by the program.
-using asker = std::uint64_t;
+using waiter_id = std::uint64_t;
 
 /// Ask the backup to record the claim; answer with `acknowledged` or `refused`.
 struct send_record {
@@ -24,22 +24,22 @@
 /// Run the call at a target, once; answer with `finished`.
 struct dispatch_call {
     call_key key;
-    asker first = 0;
+    waiter_id waiter = 0;
 };
 /// Tell the backup the outcome. Losing it costs a precise answer, never a second run.
 struct send_settled {
     settled_record record;
 };
-struct reply_to {
-    asker who = 0;
-    verdict answer;
+struct send_reply {
+    waiter_id waiter = 0;
+    call_reply answer;
 };
 /// The backup closed the pair: mint further keys under another incarnation number, or every one is refused.
 struct renew_pair {
     claim_pair pair;
 };
 
-using primary_action = std::variant<send_record, dispatch_call, send_settled, reply_to, renew_pair>;
+using primary_action = std::variant<send_record, dispatch_call, send_settled, send_reply, renew_pair>;
 using primary_actions = std::vector<primary_action>;
 
 class primary {
@@ -48,8 +48,8 @@
 
     // Commands.
     /// A call whose key has this process as its home. `refused_at_once` settles an unseen key without a run.
-    primary_actions call(const call_key& key, std::uint64_t fingerprint, asker who, std::int64_t wall_ms,
-                         const std::optional<error>& refused_at_once = {});
+    primary_actions call(const call_key& key, std::uint64_t fingerprint, waiter_id waiter,
+                         std::int64_t wall_ms, const std::optional<error>& immediate_refusal = {});
     /// The backup has recorded the claim. Late and doubled acknowledgements have no effect.
     primary_actions acknowledged(const call_key& key, std::int64_t wall_ms);
     /// The claim was not recorded, or nobody knows: the key will never be dispatched.
@@ -57,7 +57,7 @@
     /// The target's answer, or the error that stands for it.
     primary_actions finished(const call_key& key, const outcome& answer);
     /// The asker's own deadline passed while it waited.
-    primary_actions leave(const call_key& key, asker who);
+    primary_actions remove_waiter(const call_key& key, waiter_id waiter);
     /// Frees the memory of expired keys.
     void expire(std::int64_t wall_ms);
     /// Takes no unseen key from now on: the first step of a planned stop.
@@ -65,7 +65,7 @@
 
     // Queries.
     /// Every settled key of every pair, for the backups to keep after this process has ended.
-    std::map<claim_pair, std::vector<settled_record>> memory() const;
+    std::map<claim_pair, std::vector<settled_record>> settled_records() const;
     /// Keys that are being recorded or run.
     std::size_t unsettled() const;
     std::size_t keys() const { return keys_; }
@@ -75,10 +75,10 @@
     struct entry {
         std::uint64_t fingerprint = 0;
         phase state = phase::recording;
-        std::vector<asker> waiting;
+        std::vector<waiter_id> waiting;
         std::unique_ptr<outcome> answer;
     };
-    struct pair_memory {
+    struct pair_state {
         std::map<call_id, entry> entries;
         bool closed = false;
     };
@@ -86,17 +86,17 @@
     memory_limits limits_;
     horizon horizon_;
     std::int64_t next_sweep_ms_ = 0;
-    std::map<claim_pair, pair_memory> pairs_;
+    std::map<claim_pair, pair_state> pairs_;
     std::size_t keys_ = 0;
     std::size_t answer_bytes_ = 0;
     bool frozen_ = false;
 
-    void pass(std::int64_t wall_ms);
+    void advance_clock(std::int64_t wall_ms);
     entry* find(const call_key& key);
-    primary_actions begin(const call_key& key, std::uint64_t fingerprint, asker who,
-                          const std::optional<error>& refused_at_once);
+    primary_actions begin(const call_key& key, std::uint64_t fingerprint, waiter_id waiter,
+                          const std::optional<error>& immediate_refusal);
     primary_actions settle(const call_key& key, entry& item, const outcome& answer);
-    std::optional<error> reason_to_refuse(const pair_memory& pair) const;
+    std::optional<error> reason_to_refuse(const pair_state& pair) const;
 };
 
 } // namespace vanillagauge::claims
--- a/src/claims/record.hpp
+++ b/src/claims/record.hpp
@@ -13,7 +13,7 @@
 using outcome = result<std::string>;
 
 /// An outcome that a caller gets; `repeated` where an earlier call with the key got it before.
-struct verdict {
+struct call_reply {
     outcome answer;
     bool repeated = false;
 };
@@ -46,14 +46,14 @@
     std::size_t keys = 16384;                  ///< in all pairs together
     std::size_t keys_per_pair = 8192;          ///< one busy pair leaves room for the others
     std::size_t answer_bytes = 4U << 20U;      ///< of remembered answers together
-    std::size_t longest_answer = 64U << 10U;   ///< a longer one is delivered, but not remembered
-    milliseconds longest_life{10 * 60 * 1000}; ///< a key that expires later than this is refused
+    std::size_t max_answer_bytes = 64U << 10U; ///< a longer one is delivered, but not remembered
+    milliseconds max_lifetime{10 * 60 * 1000}; ///< a key that expires later than this is refused
 };
 
 /// The bytes an outcome keeps in memory besides its fixed size.
 std::size_t answer_size(const outcome& answer);
 /// The outcome to remember: the answer itself, or that it ran, where there is no room for the bytes.
-outcome bounded(const outcome& answer, std::size_t used_bytes, const memory_limits& limits);
+outcome retained_outcome(const outcome& answer, std::size_t used_bytes, const memory_limits& limits);
 
 } // namespace vanillagauge::claims
 
--- a/src/claims/role.hpp
+++ b/src/claims/role.hpp
@@ -18,7 +18,8 @@
 
 /// `own` are the incarnation numbers this process has had since its start; its memory is whole for these and
 /// for no other.
-pair_role role_of(const claim_pair& pair, const std::string& vm, const std::set<std::uint64_t>& own);
+pair_role role_of(const claim_pair& pair, const std::string& vm,
+                  const std::set<std::uint64_t>& own_incarnations);
 
 } // namespace vanillagauge::claims
 
--- a/src/entry/claim_calls.cpp
+++ b/src/entry/claim_calls.cpp
@@ -18,7 +18,7 @@
 constexpr double primary_share = 0.6;
 /// A flood fills at most this much; see docs/design/claims.md.
 constexpr claims::memory_limits shard_limits{
-    .keys = 8192, .keys_per_pair = 6144, .answer_bytes = 512U << 10U, .longest_answer = 16U << 10U};
+    .keys = 8192, .keys_per_pair = 6144, .answer_bytes = 512U << 10U, .max_answer_bytes = 16U << 10U};
 
 error no_key()
 {
@@ -84,7 +84,7 @@
         return;
     case claims::pair_role::restarted_backup:
         ask_primary(call, time_left(deadline),
-                    [call] { call->on_done(claims::refuse(claims::refusal::both_gone)); });
+                    [call] { call->on_done(claims::refusal_error(claims::refusal::pair_unavailable)); });
         return;
     case claims::pair_role::neither:
         ask_primary(call,
@@ -99,7 +99,7 @@
 
 void claim_calls::at_primary(const asked& call)
 {
-    const auto who = ++next_asker_;
+    const auto who = ++next_waiter_;
     const auto refused = runner_.refusal(call->request);
     {
         const std::lock_guard lock(waiting_mutex_);
@@ -114,7 +114,7 @@
     arm_deadline(who, call->key, call->deadline);
 }
 
-void claim_calls::arm_deadline(claims::asker who, const claims::call_key& key, time_point deadline)
+void claim_calls::arm_deadline(claims::waiter_id who, const claims::call_key& key, time_point deadline)
 {
     const std::lock_guard lock(waiting_mutex_);
     const auto found = waiting_.find(who);
@@ -125,9 +125,10 @@
     found->second.timer = context_.loop.after(left, [this, who, key] { leave(key, who); });
 }
 
-void claim_calls::leave(const claims::call_key& key, claims::asker who)
+void claim_calls::leave(const claims::call_key& key, claims::waiter_id who)
 {
-    perform(store_.with_primary(key.pair, [&](claims::primary& primary) { return primary.leave(key, who); }));
+    perform(store_.with_primary(key.pair,
+                                [&](claims::primary& primary) { return primary.remove_waiter(key, who); }));
 }
 
 void claim_calls::perform(const claims::primary_actions& actions, const observe::trace_context& trace)
@@ -142,7 +143,7 @@
         else if (const auto* settled = std::get_if<claims::send_settled>(&action)) {
             send_settled(settled->record);
         }
-        else if (const auto* answer = std::get_if<claims::reply_to>(&action)) {
+        else if (const auto* answer = std::get_if<claims::send_reply>(&action)) {
             reply(*answer);
         }
         else {
@@ -192,7 +193,7 @@
     waiting_call first;
     {
         const std::lock_guard lock(waiting_mutex_);
-        const auto found = waiting_.find(action.first);
+        const auto found = waiting_.find(action.waiter);
         if (found != waiting_.end()) {
             first.request = found->second.request;
             first.deadline = found->second.deadline;
@@ -200,7 +201,7 @@
         }
     }
     if (first.request.key().empty()) {
-        finish(claims::refuse(claims::refusal::caller_gone));
+        finish(claims::refusal_error(claims::refusal::no_waiters));
         return;
     }
     runner_.run(first.request, first.deadline, first.trace, finish);
@@ -214,12 +215,12 @@
     link_.record(record.key.pair.backup.vm, request, {settled_timeout}, [](const result<v1::ClaimReply>&) {});
 }
 
-void claim_calls::reply(const claims::reply_to& action)
+void claim_calls::reply(const claims::send_reply& action)
 {
     waiting_call waiter;
     {
         const std::lock_guard lock(waiting_mutex_);
-        auto found = waiting_.extract(action.who);
+        auto found = waiting_.extract(action.waiter);
         if (found.empty()) {
             return;
         }
@@ -296,8 +297,8 @@
             return;
         }
         const auto verdict = backup.record(claimed.key, claimed.fingerprint, wall_milliseconds());
-        reply.set_recorded(verdict == claims::record_verdict::recorded);
-        reply.set_closed(verdict == claims::record_verdict::closed);
+        reply.set_recorded(verdict == claims::record_status::recorded);
+        reply.set_closed(verdict == claims::record_status::closed);
         reply.set_reason(std::string(name(verdict)));
     });
     return reply;
@@ -335,7 +336,7 @@
         }
     }
     store_.with_backup(value(pair), [&](claims::backup& backup) {
-        backup.accept(value(pair), records, wall_milliseconds());
+        backup.accept_transfer(value(pair), records, wall_milliseconds());
     });
     reply.set_accepted(true);
     return reply;
@@ -346,7 +347,7 @@
 void claim_calls::ask_primary(const asked& call, milliseconds timeout, std::function<void()> otherwise)
 {
     if (timeout.count() <= 0) {
-        call->on_done(claims::refuse(claims::refusal::out_of_time));
+        call->on_done(claims::refusal_error(claims::refusal::deadline_exceeded));
         return;
     }
     link_.forward(call->key.pair.primary.vm, with_deadline(call->request, timeout), {timeout, call->trace},
@@ -359,7 +360,7 @@
                       // other call under it, so the deadline alone is no reason for a takeover.
                       if (!ok(reply) && failure(reply).code == error_code::deadline_exceeded &&
                           time_left(call->deadline) <= return_time) {
-                          call->on_done(claims::refuse(claims::refusal::out_of_time));
+                          call->on_done(claims::refusal_error(claims::refusal::deadline_exceeded));
                           return;
                       }
                       otherwise();
@@ -372,7 +373,7 @@
     link_.forward(call->key.pair.backup.vm, with_deadline(call->request, timeout), {timeout, call->trace},
                   [call](const result<v1::ClaimVerdict>& reply) {
                       call->on_done(ok(reply) ? from_verdict(value(reply), call->request)
-                                              : claims::refuse(claims::refusal::both_gone));
+                                              : claims::refusal_error(claims::refusal::pair_unavailable));
                   });
 }
 
@@ -389,7 +390,7 @@
                 {std::min(close_timeout, time_left(call->deadline)), call->trace},
                 [call](const result<v1::ClaimPairReply>& reply) {
                     call->on_done(ok(reply) ? from_verdict(value(reply).verdict(), call->request)
-                                            : claims::refuse(claims::refusal::both_gone));
+                                            : claims::refusal_error(claims::refusal::pair_unavailable));
                 });
 }
 
--- a/src/entry/claim_calls.hpp
+++ b/src/entry/claim_calls.hpp
@@ -78,11 +78,11 @@
     claim_runner runner_;
     claim_link link_;
     claim_store store_;
-    std::atomic<claims::asker> next_asker_{0};
+    std::atomic<claims::waiter_id> next_waiter_{0};
     mutable std::mutex own_mutex_;
     std::set<std::uint64_t> own_;
     std::mutex waiting_mutex_;
-    std::map<claims::asker, waiting_call> waiting_;
+    std::map<claims::waiter_id, waiting_call> waiting_;
 
     claims::pair_role role_of(const claims::claim_pair& pair) const;
     void at_primary(const asked& call);
@@ -92,15 +92,15 @@
     void ask_primary(const asked& call, milliseconds timeout, std::function<void()> otherwise);
     void ask_backup(const asked& call);
 
-    void arm_deadline(claims::asker who, const claims::call_key& key, time_point deadline);
-    void leave(const claims::call_key& key, claims::asker who);
+    void arm_deadline(claims::waiter_id who, const claims::call_key& key, time_point deadline);
+    void leave(const claims::call_key& key, claims::waiter_id who);
     void perform(const claims::primary_actions& actions, const observe::trace_context& trace = {});
     void send_record(const claims::send_record& action, const observe::trace_context& trace, int attempt);
     void on_recorded(const claims::send_record& action, const observe::trace_context& trace, int attempt,
                      const result<v1::ClaimReply>& reply);
     void dispatch(const claims::dispatch_call& action);
     void send_settled(const claims::settled_record& record);
-    void reply(const claims::reply_to& action);
+    void reply(const claims::send_reply& action);
     void renew();
 };
 
--- a/src/entry/claim_store.cpp
+++ b/src/entry/claim_store.cpp
@@ -59,7 +59,7 @@
     std::map<claims::claim_pair, std::vector<claims::settled_record>> all;
     for (const auto& part : parts_) {
         const std::lock_guard lock(part.mutex);
-        all.merge(part.primary.memory());
+        all.merge(part.primary.settled_records());
     }
     return all;
 }
--- a/src/entry/claim_wire.cpp
+++ b/src/entry/claim_wire.cpp
@@ -31,7 +31,7 @@
     return value(answer).SerializeAsString();
 }
 
-result<v1::CallReply> to_answer(const claims::verdict& verdict, const std::string& request_id)
+result<v1::CallReply> to_answer(const claims::call_reply& verdict, const std::string& request_id)
 {
     if (!ok(verdict.answer)) {
         return failure(verdict.answer);
@@ -65,7 +65,7 @@
         return unreadable("the peer answered for another key");
     }
     if (!verdict.decided()) {
-        return claims::refuse(claims::refusal::both_gone);
+        return claims::refusal_error(claims::refusal::pair_unavailable);
     }
     if (verdict.has_error()) {
         return wire::from_message(verdict.error());
@@ -96,7 +96,7 @@
         return message;
     }
     if (!message.mutable_reply()->ParseFromString(value(record.answer))) {
-        *message.mutable_error() = wire::to_message(claims::refuse(claims::refusal::answer_not_kept));
+        *message.mutable_error() = wire::to_message(claims::refusal_error(claims::refusal::answer_discarded));
     }
     return message;
 }
@@ -151,18 +151,18 @@
     return number;
 }
 
-std::string_view name(claims::record_verdict verdict)
+std::string_view name(claims::record_status verdict)
 {
     switch (verdict) {
-    case claims::record_verdict::recorded:
+    case claims::record_status::recorded:
         return "recorded";
-    case claims::record_verdict::closed:
+    case claims::record_status::closed:
         return "closed";
-    case claims::record_verdict::expired:
+    case claims::record_status::expired:
         return "expired";
-    case claims::record_verdict::full:
+    case claims::record_status::full:
         return "full";
-    case claims::record_verdict::other_request:
+    case claims::record_status::other_request:
         return "other_request";
     }
     return "unknown";
@@ -173,10 +173,10 @@
     if (reply.closed()) {
         return claims::refusal::pair_closed;
     }
-    if (reply.reason() == name(claims::record_verdict::expired)) {
-        return claims::refusal::expired_unrun;
+    if (reply.reason() == name(claims::record_status::expired)) {
+        return claims::refusal::expired_before_run;
     }
-    if (reply.reason() == name(claims::record_verdict::full)) {
+    if (reply.reason() == name(claims::record_status::full)) {
         return claims::refusal::full;
     }
     return claims::refusal::backup_unreachable;
--- a/src/entry/claim_wire.hpp
+++ b/src/entry/claim_wire.hpp
@@ -16,10 +16,10 @@
 
 /// An answer as the claims library keeps it, and back for one asker with its own request id.
 claims::outcome to_outcome(const result<v1::CallReply>& answer);
-result<v1::CallReply> to_answer(const claims::verdict& verdict, const std::string& request_id);
+result<v1::CallReply> to_answer(const claims::call_reply& verdict, const std::string& request_id);
 
 v1::ClaimVerdict to_verdict(const std::string& key, const result<v1::CallReply>& answer);
-/// `both_gone` where the process asked cannot tell; `incomplete` where the verdict is of another key.
+/// `pair_unavailable` where the process asked cannot tell; `incomplete` where the verdict is of another key.
 result<v1::CallReply> from_verdict(const v1::ClaimVerdict& verdict, const v1::CallRequest& request);
 
 /// Claims have no answer yet; settled records have one.
@@ -34,7 +34,7 @@
 /// `invalid_argument` where the text is no fingerprint.
 result<std::uint64_t> parse_fingerprint(const std::string& text);
 
-std::string_view name(claims::record_verdict verdict);
+std::string_view name(claims::record_status verdict);
 /// Why the primary refuses a claim that its backup did not record.
 claims::refusal refusal_of(const v1::ClaimReply& reply);
 
--- a/tests/claims/interleaving_tests.cpp
+++ b/tests/claims/interleaving_tests.cpp
@@ -114,8 +114,8 @@
     std::int64_t primary_ms_ = start_ms;
     std::int64_t backup_ms_ = start_ms;
     std::size_t pick_ = 0;
-    asker next_ = 0;
-    std::map<asker, std::pair<call_key, std::uint64_t>> askers_;
+    waiter_id next_ = 0;
+    std::map<waiter_id, std::pair<call_key, std::uint64_t>> askers_;
     // Sent messages are never taken out: each may arrive again at any time.
     std::vector<send_record> records_;
     std::vector<call_key> acknowledgements_;
@@ -167,7 +167,7 @@
                 return;
             }
             const auto decided = backup_.record(message.key, message.fingerprint, backup_ms_);
-            (decided == record_verdict::recorded ? acknowledgements_ : refusals_).push_back(message.key);
+            (decided == record_status::recorded ? acknowledgements_ : refusals_).push_back(message.key);
         });
     }
 
@@ -199,8 +199,8 @@
             return;
         }
         primary_.freeze();
-        for (const auto& [handed, records] : primary_.memory()) {
-            backup_.accept(handed, records, backup_ms_);
+        for (const auto& [handed, records] : primary_.settled_records()) {
+            backup_.accept_transfer(handed, records, backup_ms_);
         }
     }
 
@@ -224,14 +224,14 @@
             else if (const auto* told = std::get_if<send_settled>(&action)) {
                 settled_.push_back(told->record);
             }
-            else if (const auto* reply = std::get_if<reply_to>(&action)) {
-                const auto& [asked, request] = askers_.at(reply->who);
+            else if (const auto* reply = std::get_if<send_reply>(&action)) {
+                const auto& [asked, request] = askers_.at(reply->waiter);
                 check(asked, request, reply->answer);
             }
         }
     }
 
-    void check(const call_key& asked, std::uint64_t request, const verdict& told)
+    void check(const call_key& asked, std::uint64_t request, const call_reply& told)
     {
         const auto ran = run_by_.find(asked.suffix);
         const bool request_ran = ran != run_by_.end() && ran->second == request;
--- a/tests/claims/pair_tests.cpp
+++ b/tests/claims/pair_tests.cpp
@@ -30,7 +30,7 @@
 
 error only_error(const primary_actions& actions)
 {
-    const auto replies = all<reply_to>(actions);
+    const auto replies = all<send_reply>(actions);
     EXPECT_EQ(replies.size(), 1U);
     return failure(replies.at(0).answer.answer);
 }
@@ -69,7 +69,7 @@
 TEST(primary_side, a_repeat_gets_the_known_answer_without_a_run)
 {
     auto side = settled_primary(key("a"));
-    const auto replies = all<reply_to>(side.call(key("a"), charge, 2, now));
+    const auto replies = all<send_reply>(side.call(key("a"), charge, 2, now));
     ASSERT_EQ(replies.size(), 1U);
     EXPECT_TRUE(replies[0].answer.repeated);
     EXPECT_EQ(value(replies[0].answer.answer), "paid");
@@ -81,7 +81,7 @@
     side.call(key("a"), charge, 1, now);
     side.acknowledged(key("a"), now);
     EXPECT_TRUE(side.call(key("a"), charge, 2, now).empty());
-    const auto replies = all<reply_to>(side.finished(key("a"), std::string("paid")));
+    const auto replies = all<send_reply>(side.finished(key("a"), std::string("paid")));
     ASSERT_EQ(replies.size(), 2U);
     EXPECT_FALSE(replies[0].answer.repeated);
     EXPECT_TRUE(replies[1].answer.repeated);
@@ -144,7 +144,7 @@
     side.call(key("a"), charge, 1, now);
     side.acknowledged(key("a"), now);
     side.expire(expiry + 1);
-    EXPECT_EQ(all<reply_to>(side.finished(key("a"), std::string("paid"))).size(), 1U);
+    EXPECT_EQ(all<send_reply>(side.finished(key("a"), std::string("paid"))).size(), 1U);
     EXPECT_EQ(side.keys(), 0U);
 }
 
@@ -152,7 +152,7 @@
 {
     primary side;
     side.call(key("a"), charge, 1, now);
-    EXPECT_EQ(only_error(side.leave(key("a"), 1)).ran, run_state::in_doubt);
+    EXPECT_EQ(only_error(side.remove_waiter(key("a"), 1)).ran, run_state::in_doubt);
     EXPECT_TRUE(all<dispatch_call>(side.acknowledged(key("a"), now)).empty());
 }
 
@@ -162,7 +162,7 @@
     side.freeze();
     EXPECT_EQ(only_error(side.call(key("b"), charge, 2, now)).code, error_code::draining);
     EXPECT_EQ(side.unsettled(), 0U);
-    const auto memory = side.memory();
+    const auto memory = side.settled_records();
     ASSERT_EQ(memory.size(), 1U);
     EXPECT_EQ(memory.at(pair).size(), 2U);
 }
@@ -173,7 +173,7 @@
     int admitted = 0;
     for (int place = 0; place < 20; ++place) {
         const auto id = "k" + std::to_string(place);
-        const auto actions = side.call(key(id), charge, static_cast<asker>(place), now);
+        const auto actions = side.call(key(id), charge, static_cast<waiter_id>(place), now);
         admitted += static_cast<int>(all<send_record>(actions).size());
         EXPECT_LE(side.keys(), 8U);
     }
@@ -190,10 +190,10 @@
 
 TEST(primary_side, an_answer_too_long_to_remember_is_delivered_and_repeats_learn_that_it_ran)
 {
-    primary side(memory_limits{.longest_answer = 4});
+    primary side(memory_limits{.max_answer_bytes = 4});
     side.call(key("a"), charge, 1, now);
     side.acknowledged(key("a"), now);
-    const auto replies = all<reply_to>(side.finished(key("a"), std::string("a long receipt")));
+    const auto replies = all<send_reply>(side.finished(key("a"), std::string("a long receipt")));
     EXPECT_EQ(value(replies.at(0).answer.answer), "a long receipt");
     EXPECT_EQ(only_error(side.call(key("a"), charge, 2, now)).ran, run_state::ran);
 }
@@ -205,13 +205,13 @@
     backup side;
     const auto told = side.take_over(key("a"), charge, now);
     EXPECT_EQ(failure(told.answer).ran, run_state::not_run);
-    EXPECT_EQ(side.record(key("a"), charge, now), record_verdict::closed);
+    EXPECT_EQ(side.record(key("a"), charge, now), record_status::closed);
 }
 
 TEST(backup_side, a_seen_claim_is_in_doubt_until_its_answer_is_told)
 {
     backup side;
-    EXPECT_EQ(side.record(key("a"), charge, now), record_verdict::recorded);
+    EXPECT_EQ(side.record(key("a"), charge, now), record_status::recorded);
     EXPECT_EQ(failure(side.take_over(key("a"), charge, now).answer).ran, run_state::in_doubt);
     side.settle({key("a"), charge, std::string("paid")}, now);
     const auto told = side.take_over(key("a"), charge, now);
@@ -224,8 +224,8 @@
 {
     backup side;
     side.record(key("a"), charge, now);
-    EXPECT_EQ(side.record(key("a"), charge, now), record_verdict::recorded);
-    EXPECT_EQ(side.record(key("a"), other_charge, now), record_verdict::other_request);
+    EXPECT_EQ(side.record(key("a"), charge, now), record_status::recorded);
+    EXPECT_EQ(side.record(key("a"), other_charge, now), record_status::other_request);
     EXPECT_EQ(side.keys(), 1U);
 }
 
@@ -253,7 +253,7 @@
 {
     backup side;
     side.record(key("a"), charge, now);
-    side.accept(pair, {{key("a"), charge, std::string("paid")}}, now);
+    side.accept_transfer(pair, {{key("a"), charge, std::string("paid")}}, now);
     EXPECT_TRUE(side.closed(pair));
     EXPECT_EQ(value(side.take_over(key("a"), charge, now).answer), "paid");
     EXPECT_EQ(failure(side.take_over(key("b"), charge, now).answer).ran, run_state::not_run);
@@ -264,7 +264,7 @@
     backup side(memory_limits{.keys = 2, .keys_per_pair = 2});
     side.record(key("a"), charge, now);
     side.record(key("b"), charge, now);
-    EXPECT_EQ(side.record(key("c"), charge, now), record_verdict::full);
+    EXPECT_EQ(side.record(key("c"), charge, now), record_status::full);
     EXPECT_EQ(side.keys(), 2U);
 }
 
--- a/tools/claims_cost/main.cpp
+++ b/tools/claims_cost/main.cpp
@@ -39,7 +39,7 @@
 
 void play_primary(primary& side, const std::vector<call_key>& keys, const std::string& answer)
 {
-    asker who = 0;
+    waiter_id who = 0;
     for (const auto& key : keys) {
         side.call(key, fingerprint, ++who, now_ms);
         side.acknowledged(key, now_ms);
