--- a/src/fleet/datagram.hpp
+++ b/src/fleet/datagram.hpp
@@ -9,7 +9,7 @@
 
 namespace vanillagauge::fleet {
 
-enum class datagram_kind { ping, ack, relay_request, news };
+enum class datagram_kind { ping, ack, relay_request, gossip };
 
 /// Says which configuration the sender holds; the detector only carries it.
 struct config_mark {
--- a/src/fleet/failure_detector.cpp
+++ b/src/fleet/failure_detector.cpp
@@ -6,25 +6,25 @@
 namespace {
 
 /// A tick that comes this much late means that the process did not run; see notice_pause.
-constexpr milliseconds pause_notice{700};
+constexpr milliseconds pause_threshold{700};
 /// A changed configuration is told this often by each node that took it; the comparison on every probe finds
 /// the rest.
-constexpr int config_tellings = 8;
+constexpr int config_transmit_limit = 8;
 
 } // namespace
 
 failure_detector::failure_detector(node self, detector_timing timing, membership_timing member_timing,
                                    std::uint64_t seed, time_point now)
     : view_(std::move(self), member_timing, now), timing_(timing), random_(seed), last_tick_(now),
-      next_probe_(now), next_news_(now), next_reconnect_(now + timing.reconnect_every), next_compare_(now),
-      tokens_(static_cast<double>(timing.burst_bytes))
+      next_probe_(now), next_gossip_(now), next_reconnect_(now + timing.reconnect_interval),
+      next_compare_(now), tokens_(static_cast<double>(timing.burst_bytes))
 {
 }
 
 void failure_detector::set_config(config_mark mark)
 {
     if (mark.digest != config_.digest) {
-        config_tellings_ = config_tellings;
+        config_transmissions_ = config_transmit_limit;
     }
     config_ = mark;
 }
@@ -38,15 +38,15 @@
 
 // A process that was stopped for a while wakes with all its probes overdue. Its peers answered; it could not
 // listen. Without this it would suspect every VM it was probing, and bury those it suspected before.
-void failure_detector::notice_pause(time_point now)
+void failure_detector::detect_pause(time_point now)
 {
     const auto late = now - last_tick_;
-    if (late < pause_notice) {
+    if (late < pause_threshold) {
         return;
     }
     probes_.clear();
     relayed_.clear();
-    view_.postpone(late);
+    view_.extend_suspicions(late);
     next_probe_ = now;
 }
 
@@ -54,25 +54,25 @@
 {
     detector_actions actions;
     refill(now);
-    notice_pause(now);
+    detect_pause(now);
     last_tick_ = now;
-    judge_probes(now, actions);
+    check_probes(now, actions);
     view_.tick(now);
     if (now >= next_probe_) {
-        next_probe_ = now + timing_.probe_every;
+        next_probe_ = now + timing_.probe_interval;
         start_probe(now, actions);
     }
-    const auto last = view_.last_return();
-    if (last && *last >= last_return_seen_) {
-        last_return_seen_ = *last + milliseconds{1};
-        next_reconnect_ = std::min(next_reconnect_, now + timing_.reconnect_returning);
+    const auto last = view_.last_recovery();
+    if (last && *last >= last_recovery_seen_) {
+        last_recovery_seen_ = *last + milliseconds{1};
+        next_reconnect_ = std::min(next_reconnect_, now + timing_.recovery_reconnect_interval);
     }
     if (now >= next_reconnect_) {
         reconnect(now, actions);
     }
-    if (now >= next_news_) {
-        next_news_ = now + timing_.news_every;
-        tell_news(actions);
+    if (now >= next_gossip_) {
+        next_gossip_ = now + timing_.gossip_interval;
+        send_gossip(actions);
     }
     return actions;
 }
@@ -112,57 +112,57 @@
     send(address, make(datagram_kind::ping, vm, sequence), actions);
 }
 
-void failure_detector::judge_probes(time_point now, detector_actions& actions)
+void failure_detector::check_probes(time_point now, detector_actions& actions)
 {
     for (auto it = probes_.begin(); it != probes_.end();) {
-        auto& open = it->second;
-        const auto waited = now - open.started;
-        if (waited >= timing_.relayed_within) {
-            view_.suspect(open.vm, now);
+        auto& pending = it->second;
+        const auto waited = now - pending.started;
+        if (waited >= timing_.probe_timeout) {
+            view_.suspect(pending.vm, now);
             it = probes_.erase(it);
             continue;
         }
-        if (waited >= timing_.answer_within && !open.relayed) {
-            open.relayed = true;
-            ask_relays(it->first, open, actions);
+        if (waited >= timing_.ack_timeout && !pending.relayed) {
+            pending.relayed = true;
+            request_relays(it->first, pending, actions);
         }
         ++it;
     }
     std::erase_if(relayed_, [this, now](const auto& entry) {
-        return now - entry.second.started > timing_.relayed_within;
+        return now - entry.second.started > timing_.probe_timeout;
     });
 }
 
 // One lost datagram or one bad path between two VMs is no death: three others try before it is suspected.
-void failure_detector::ask_relays(std::uint64_t sequence, const probe& open, detector_actions& actions)
+void failure_detector::request_relays(std::uint64_t sequence, const probe& pending, detector_actions& actions)
 {
-    const auto* target = view_.find(open.vm);
+    const auto* target = view_.find(pending.vm);
     if (target == nullptr) {
         return;
     }
     const auto target_address = target->datagram_address;
-    for (const auto& vm : random_peers(timing_.relays, open.vm)) {
+    for (const auto& vm : random_peers(timing_.relays, pending.vm)) {
         auto request = make(datagram_kind::relay_request, vm, sequence);
-        request.relay_vm = open.vm;
+        request.relay_vm = pending.vm;
         request.relay_address = target_address;
         send(view_.find(vm)->datagram_address, std::move(request), actions);
     }
 }
 
-void failure_detector::tell_news(detector_actions& actions)
+void failure_detector::send_gossip(detector_actions& actions)
 {
-    const bool config_news = config_tellings_ > 0;
-    if (!view_.has_news() && !config_news) {
+    const bool config_changed = config_transmissions_ > 0;
+    if (!view_.has_updates() && !config_changed) {
         return;
     }
-    for (const auto& vm : random_peers(timing_.news_peers, {})) {
-        auto message = make(datagram_kind::news, vm, 0);
-        if (tokens_ < static_cast<double>(estimated_size(message) + view_.smallest_news())) {
+    for (const auto& vm : random_peers(timing_.gossip_fanout, {})) {
+        auto message = make(datagram_kind::gossip, vm, 0);
+        if (tokens_ < static_cast<double>(estimated_size(message) + view_.smallest_update())) {
             return;
         }
         send(view_.find(vm)->datagram_address, std::move(message), actions);
     }
-    config_tellings_ = std::max(0, config_tellings_ - 1);
+    config_transmissions_ = std::max(0, config_transmissions_ - 1);
 }
 
 // Two halves of a fleet that lost each other for an hour hold each other for dead and probe only the living:
@@ -171,11 +171,11 @@
 // others behind the same link are likely back too, so they are tried in quick succession.
 void failure_detector::reconnect(time_point now, detector_actions& actions)
 {
-    const auto last = view_.last_return();
-    const bool returning = last && now - *last < timing_.returning;
-    next_reconnect_ = now + (returning ? timing_.reconnect_returning : timing_.reconnect_every);
+    const auto last = view_.last_recovery();
+    const bool recovering = last && now - *last < timing_.recovery_window;
+    next_reconnect_ = now + (recovering ? timing_.recovery_reconnect_interval : timing_.reconnect_interval);
     const auto dead = view_.in_state(member_state::dead);
-    if (dead.empty() || tokens_ < static_cast<double>(timing_.largest_datagram)) {
+    if (dead.empty() || tokens_ < static_cast<double>(timing_.max_datagram_bytes)) {
         return;
     }
     const auto& vm = dead[random_() % dead.size()];
@@ -186,8 +186,8 @@
 {
     auto living = view_.in_state(member_state::alive);
     std::erase(living, except);
-    for (std::size_t place = 0; place < std::min(count, living.size()); ++place) {
-        std::swap(living[place], living[place + random_() % (living.size() - place)]);
+    for (std::size_t index = 0; index < std::min(count, living.size()); ++index) {
+        std::swap(living[index], living[index + random_() % (living.size() - index)]);
     }
     living.resize(std::min(count, living.size()));
     return living;
@@ -212,13 +212,13 @@
     if (address.empty()) {
         return;
     }
-    message.updates = view_.said_of(message.to);
+    message.updates = view_.update_about(message.to);
     const auto bare = estimated_size(message);
     tokens_ -= static_cast<double>(bare);
     const auto room =
-        std::min(tokens_, static_cast<double>(timing_.largest_datagram) - static_cast<double>(bare));
+        std::min(tokens_, static_cast<double>(timing_.max_datagram_bytes) - static_cast<double>(bare));
     if (room > 0) {
-        for (auto& update : view_.take_news(static_cast<std::size_t>(room))) {
+        for (auto& update : view_.take_updates(static_cast<std::size_t>(room))) {
             tokens_ -= static_cast<double>(estimated_size(update));
             message.updates.push_back(std::move(update));
         }
@@ -241,23 +241,23 @@
         send(message.from_address, make(datagram_kind::ack, message.from, message.sequence), actions);
         break;
     case datagram_kind::ack:
-        take_ack(message, actions);
+        handle_ack(message, actions);
         break;
     case datagram_kind::relay_request:
-        answer_relay(message, now, actions);
+        handle_relay_request(message, now, actions);
         break;
-    case datagram_kind::news:
+    case datagram_kind::gossip:
         break;
     }
-    consider_comparison(message, now, actions);
+    maybe_compare(message, now, actions);
     return actions;
 }
 
-void failure_detector::take_ack(const datagram& message, detector_actions& actions)
+void failure_detector::handle_ack(const datagram& message, detector_actions& actions)
 {
-    const auto open = probes_.find(message.sequence);
-    if (open != probes_.end()) {
-        probes_.erase(open);
+    const auto pending = probes_.find(message.sequence);
+    if (pending != probes_.end()) {
+        probes_.erase(pending);
         return;
     }
     const auto relayed = relayed_.find(message.sequence);
@@ -269,7 +269,8 @@
     }
 }
 
-void failure_detector::answer_relay(const datagram& request, time_point now, detector_actions& actions)
+void failure_detector::handle_relay_request(const datagram& request, time_point now,
+                                            detector_actions& actions)
 {
     const auto sequence = ++sequence_;
     relayed_[sequence] = {request.from, request.from_address, request.sequence, now};
@@ -279,17 +280,18 @@
 // Gossip is random: now and then a claim misses somebody, and after a partition far more than fits the queue
 // differs. Equal digests end the matter for 8 bytes; unequal ones lead to a comparison, at most one in ten
 // seconds so that its bytes stay bounded, and not while claims are still on their way.
-void failure_detector::consider_comparison(const datagram& message, time_point now, detector_actions& actions)
+void failure_detector::maybe_compare(const datagram& message, time_point now, detector_actions& actions)
 {
-    const bool stranger = view_.find(message.from) == nullptr;
+    const bool unknown_sender = view_.find(message.from) == nullptr;
     if (message.members_digest == view_.digest() || message.from_peer_address.empty()) {
         return;
     }
-    if ((view_.has_news() && !stranger) || now < next_compare_) {
+    if ((view_.has_updates() && !unknown_sender) || now < next_compare_) {
         return;
     }
-    const auto jitter = milliseconds{random_() % static_cast<std::uint64_t>(timing_.compare_every.count())};
-    next_compare_ = now + timing_.compare_every / 2 + jitter;
+    const auto jitter =
+        milliseconds{random_() % static_cast<std::uint64_t>(timing_.compare_interval.count())};
+    next_compare_ = now + timing_.compare_interval / 2 + jitter;
     actions.emplace_back(compare_views{message.from_peer_address});
 }
 
@@ -298,7 +300,7 @@
     detector_actions actions;
     view_.leave(now);
     for (const auto& vm : random_peers(2 * timing_.relays, {})) {
-        auto message = make(datagram_kind::news, vm, 0);
+        auto message = make(datagram_kind::gossip, vm, 0);
         send(view_.find(vm)->datagram_address, std::move(message), actions);
     }
     return actions;
--- a/src/fleet/failure_detector.hpp
+++ b/src/fleet/failure_detector.hpp
@@ -15,19 +15,19 @@
 namespace vanillagauge::fleet {
 
 struct detector_timing {
-    milliseconds probe_every{500};
-    milliseconds answer_within{200}; ///< then others are asked to probe
-    milliseconds relayed_within{450};
-    milliseconds news_every{100};          ///< extra datagrams while there is news
-    milliseconds reconnect_every{5000};    ///< a dead VM is tried, in turn
-    milliseconds returning{10000};         ///< for this long after a return from the dead
-    milliseconds reconnect_returning{250}; ///< the dead are tried this often
-    milliseconds compare_every{10000};     ///< whole views are compared at most this often
+    milliseconds probe_interval{500};
+    milliseconds ack_timeout{200}; ///< then others are asked to probe
+    milliseconds probe_timeout{450};
+    milliseconds gossip_interval{100};             ///< extra datagrams while there is news
+    milliseconds reconnect_interval{5000};         ///< a dead VM is tried, in turn
+    milliseconds recovery_window{10000};           ///< for this long after a return from the dead
+    milliseconds recovery_reconnect_interval{250}; ///< the dead are tried this often
+    milliseconds compare_interval{10000};          ///< whole views are compared at most this often
     std::size_t relays = 3;
-    std::size_t news_peers = 2;
+    std::size_t gossip_fanout = 2;
     std::size_t bytes_per_second = 2000; ///< sent; probes and their answers come first
     std::size_t burst_bytes = 6000;
-    std::size_t largest_datagram = 1200; ///< fits every path without fragments
+    std::size_t max_datagram_bytes = 1200; ///< fits every path without fragments
 };
 
 /// Send this datagram to `address`.
@@ -54,9 +54,9 @@
     detector_actions tick(time_point now);
     detector_actions receive(const datagram& message, time_point now);
     void announce(const node& self, time_point now) { view_.announce(self, now); }
-    bool merge_compared(const std::vector<member_update>& claims, time_point now)
+    bool merge_diff(const std::vector<member_update>& updates, time_point now)
     {
-        return view_.merge_compared(claims, now);
+        return view_.merge_diff(updates, now);
     }
     /// Tells a few peers that this VM leaves.
     detector_actions leave(time_point now);
@@ -81,29 +81,29 @@
     detector_timing timing_;
     std::mt19937_64 random_;
     config_mark config_;
-    int config_tellings_ = 0;
+    int config_transmissions_ = 0;
     std::uint64_t sequence_ = 0;
     std::map<std::uint64_t, probe> probes_;
     std::map<std::uint64_t, relayed_probe> relayed_;
     std::deque<std::string> order_; ///< whom to probe next; every other VM once in a shuffled round
     time_point last_tick_;
     time_point next_probe_;
-    time_point next_news_;
+    time_point next_gossip_;
     time_point next_reconnect_;
     time_point next_compare_;
-    time_point last_return_seen_{};
+    time_point last_recovery_seen_{};
     double tokens_ = 0;
 
     void refill(time_point now);
-    void notice_pause(time_point now);
+    void detect_pause(time_point now);
     void start_probe(time_point now, detector_actions& actions);
-    void judge_probes(time_point now, detector_actions& actions);
-    void ask_relays(std::uint64_t sequence, const probe& open, detector_actions& actions);
-    void tell_news(detector_actions& actions);
+    void check_probes(time_point now, detector_actions& actions);
+    void request_relays(std::uint64_t sequence, const probe& pending, detector_actions& actions);
+    void send_gossip(detector_actions& actions);
     void reconnect(time_point now, detector_actions& actions);
-    void answer_relay(const datagram& request, time_point now, detector_actions& actions);
-    void take_ack(const datagram& message, detector_actions& actions);
-    void consider_comparison(const datagram& message, time_point now, detector_actions& actions);
+    void handle_relay_request(const datagram& request, time_point now, detector_actions& actions);
+    void handle_ack(const datagram& message, detector_actions& actions);
+    void maybe_compare(const datagram& message, time_point now, detector_actions& actions);
     std::string next_target();
     std::vector<std::string> random_peers(std::size_t count, const std::string& except);
     datagram make(datagram_kind kind, const std::string& to, std::uint64_t sequence) const;
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -9,31 +9,31 @@
 
 /// A claim is told 4 times for each power of ten of the fleet: a random spread then misses a member with a
 /// chance below one in a thousand, and the comparison of views finds what was missed.
-constexpr int tellings_per_digit = 4;
+constexpr int transmissions_per_digit = 4;
 constexpr std::size_t small_fleet = 8;
-constexpr std::size_t isolated_share = 4;
+constexpr std::size_t isolated_divisor = 4;
 /// The first return from the dead is taken at once; a VM that keeps returning is held back.
-constexpr int free_recoveries = 1;
-constexpr int longest_doubling = 6;
-constexpr std::size_t most_compared_told_on = 16;
+constexpr int undamped_recoveries = 1;
+constexpr int max_doublings = 6;
+constexpr std::size_t max_forwarded_updates = 16;
 
-int most_tellings(std::size_t members)
+int transmit_limit(std::size_t members)
 {
     int digits = 1;
     while (members >= 10) {
         members /= 10;
         ++digits;
     }
-    return tellings_per_digit * digits;
+    return transmissions_per_digit * digits;
 }
 
-bool counts_as_living(member_state state)
+bool is_live(member_state state)
 {
     return state == member_state::alive || state == member_state::suspect;
 }
 
 /// The claim as it is sent: the dead and the suspect need no content.
-member_update claim_of(const member& seen)
+member_update update_of(const member& seen)
 {
     if (seen.state == member_state::alive) {
         return {seen.info, seen.state};
@@ -55,8 +55,8 @@
     if (left.state != member_state::alive && left.state != member_state::left) {
         return false;
     }
-    const auto rank = [](const member_summary& line) {
-        return std::tuple(line.incarnation, line.heartbeat, line.state == member_state::left);
+    const auto rank = [](const member_summary& summary) {
+        return std::tuple(summary.incarnation, summary.heartbeat, summary.state == member_state::left);
     };
     return rank(left) > rank(right);
 }
@@ -73,29 +73,29 @@
 {
     auto& own = members_[self_vm_];
     own.seen = {std::move(self), member_state::alive, now};
-    count_in_digest(own);
+    toggle_in_digest(own);
 }
 
 // XOR: counting an entry twice takes it out again.
-void membership::count_in_digest(const held& entry)
+void membership::toggle_in_digest(const member_entry& entry)
 {
-    if (counts_as_living(entry.seen.state)) {
+    if (is_live(entry.seen.state)) {
         const auto& info = entry.seen.info;
         digest_ ^= hash64(info.vm, info.incarnation * 1000003U + info.heartbeat);
     }
 }
 
-void membership::spread(const held& entry)
+void membership::enqueue(const member_entry& entry)
 {
-    news_.push(claim_of(entry.seen));
+    updates_.push(update_of(entry.seen));
 }
 
-void membership::change_state(held& entry, member_state state, time_point now)
+void membership::change_state(member_entry& entry, member_state state, time_point now)
 {
-    count_in_digest(entry);
+    toggle_in_digest(entry);
     entry.seen.state = state;
     entry.seen.since = now;
-    count_in_digest(entry);
+    toggle_in_digest(entry);
     ++generation_;
 }
 
@@ -121,109 +121,109 @@
     }
     self.heartbeat += 1;
     replace(own, {std::move(self), member_state::alive}, now);
-    spread(own);
+    enqueue(own);
     return true;
 }
 
-void membership::replace(held& entry, const member_update& said, time_point now)
+void membership::replace(member_entry& entry, const member_update& update, time_point now)
 {
-    count_in_digest(entry);
+    toggle_in_digest(entry);
     const auto before = entry.seen.state;
-    entry.seen.info.incarnation = said.info.incarnation;
-    entry.seen.info.heartbeat = said.info.heartbeat;
-    if (said.state == member_state::alive) {
-        const auto version = std::max(entry.seen.info.config_version, said.info.config_version);
-        entry.seen.info = said.info;
+    entry.seen.info.incarnation = update.info.incarnation;
+    entry.seen.info.heartbeat = update.info.heartbeat;
+    if (update.state == member_state::alive) {
+        const auto version = std::max(entry.seen.info.config_version, update.info.config_version);
+        entry.seen.info = update.info;
         entry.seen.info.config_version = version;
     }
-    entry.seen.state = said.state;
-    if (before != said.state) {
+    entry.seen.state = update.state;
+    if (before != update.state) {
         entry.seen.since = now;
     }
-    count_in_digest(entry);
+    toggle_in_digest(entry);
     ++generation_;
 }
 
-bool membership::merge(const member_update& said, time_point now)
+bool membership::merge(const member_update& update, time_point now)
 {
-    return take(said, now, true);
+    return apply(update, now, true);
 }
 
 // A VM that joins learns hundreds of claims at once, all known to the fleet. Telling each of them on would
 // fill its own and its peers' datagrams for minutes, and fresh claims would wait behind them.
-bool membership::merge_compared(const std::vector<member_update>& claims, time_point now)
+bool membership::merge_diff(const std::vector<member_update>& updates, time_point now)
 {
-    const bool tell_on = claims.size() <= most_compared_told_on;
+    const bool forward = updates.size() <= max_forwarded_updates;
     bool any = false;
-    for (const auto& claim : claims) {
-        any = take(claim, now, tell_on) || any;
+    for (const auto& update : updates) {
+        any = apply(update, now, forward) || any;
     }
     return any;
 }
 
-bool membership::take(const member_update& said, time_point now, bool tell_on)
+bool membership::apply(const member_update& update, time_point now, bool forward)
 {
-    if (said.info.vm == self_vm_) {
-        return refute(said, now);
+    if (update.info.vm == self_vm_) {
+        return refute(update, now);
     }
-    const auto found = members_.find(said.info.vm);
+    const auto found = members_.find(update.info.vm);
     if (found == members_.end()) {
         // A dead VM that was never known here, or was forgotten, is no news: taking it up again would keep
         // the dead of all days alive in the gossip.
-        if (said.state != member_state::alive) {
+        if (update.state != member_state::alive) {
             return false;
         }
-        auto& entry = members_[said.info.vm];
+        auto& entry = members_[update.info.vm];
         entry.seen.state = member_state::dead; // not in the digest until it is replaced
-        replace(entry, said, now);
-        if (tell_on) {
-            spread(entry);
+        replace(entry, update, now);
+        if (forward) {
+            enqueue(entry);
         }
         return true;
     }
     auto& entry = found->second;
-    if (!supersedes(said, {entry.seen.info, entry.seen.state})) {
+    if (!supersedes(update, {entry.seen.info, entry.seen.state})) {
         return false;
     }
-    if (entry.seen.state == member_state::dead && said.state == member_state::alive) {
+    if (entry.seen.state == member_state::dead && update.state == member_state::alive) {
         note_recovery(entry, now);
-        last_return_ = now;
+        last_recovery_ = now;
     }
-    replace(entry, said, now);
-    if (tell_on) {
-        spread(entry);
+    replace(entry, update, now);
+    if (forward) {
+        enqueue(entry);
     }
     return true;
 }
 
 // A paused or cut-off VM learns on its return that others hold it for suspect or dead, or meets statements of
 // its own former life with a clock that ran ahead. Only a higher statement of its own clears that everywhere.
-bool membership::refute(const member_update& said, time_point now)
+bool membership::refute(const member_update& update, time_point now)
 {
     auto& own = members_.at(self_vm_);
-    if (own.seen.state == member_state::left || !supersedes(said, {own.seen.info, own.seen.state})) {
+    if (own.seen.state == member_state::left || !supersedes(update, {own.seen.info, own.seen.state})) {
         return false;
     }
     auto info = own.seen.info;
-    info.incarnation = std::max(info.incarnation, said.info.incarnation);
-    info.heartbeat = said.info.heartbeat + 1;
+    info.incarnation = std::max(info.incarnation, update.info.incarnation);
+    info.heartbeat = update.info.heartbeat + 1;
     replace(own, {std::move(info), member_state::alive}, now);
-    spread(own);
+    enqueue(own);
     return true;
 }
 
 // A VM whose link comes and goes every few seconds would pull work to itself and lose it each time. From its
 // second return on it is shown as suspect for a time that doubles with each return, so it gets no new work.
-void membership::note_recovery(held& entry, time_point now)
+void membership::note_recovery(member_entry& entry, time_point now)
 {
-    const auto forgiven = (now - entry.last_recovery) / timing_.flap_memory;
+    const auto forgiven = (now - entry.last_recovery) / timing_.flap_decay;
     entry.recoveries = forgiven >= entry.recoveries ? 0 : entry.recoveries - static_cast<int>(forgiven);
     entry.recoveries += 1;
     entry.last_recovery = now;
-    if (entry.recoveries > free_recoveries) {
-        const int doublings = std::min(entry.recoveries, longest_doubling);
-        entry.hold_until = now + std::min(timing_.longest_hold, milliseconds{1000LL << doublings});
-        entry.shown_held = true;
+    if (entry.recoveries > undamped_recoveries) {
+        const int doublings = std::min(entry.recoveries, max_doublings);
+        entry.damped_until = now + std::min(timing_.max_damping, milliseconds{1000LL << doublings});
+        entry.damped = true;
     }
 }
 
@@ -234,7 +234,7 @@
         return;
     }
     change_state(found->second, member_state::suspect, now);
-    spread(found->second);
+    enqueue(found->second);
 }
 
 void membership::leave(time_point now)
@@ -243,31 +243,31 @@
     auto info = own.seen.info;
     info.heartbeat += 1;
     replace(own, {std::move(info), member_state::left}, now);
-    spread(own);
+    enqueue(own);
 }
 
 // The suspicion and its refutation each have to cross the fleet, which takes rounds that grow with the
 // logarithm of its size.
-milliseconds membership::suspicion_time() const
+milliseconds membership::suspicion_timeout() const
 {
     const auto eighths = std::max<std::size_t>(members_.size() / small_fleet, 1);
     const auto doublings = static_cast<int>(std::bit_width(eighths)) - 1;
-    return timing_.suspicion + doublings * timing_.suspicion_per_doubling;
+    return timing_.suspicion_timeout + doublings * timing_.suspicion_per_doubling;
 }
 
 bool membership::tick(time_point now)
 {
     bool changed = false;
-    const auto patience = suspicion_time();
+    const auto timeout = suspicion_timeout();
     for (auto& [vm, entry] : members_) {
-        if (entry.shown_held && now >= entry.hold_until) {
-            entry.shown_held = false;
+        if (entry.damped && now >= entry.damped_until) {
+            entry.damped = false;
             ++generation_;
             changed = true;
         }
-        if (entry.seen.state == member_state::suspect && now - entry.seen.since >= patience) {
+        if (entry.seen.state == member_state::suspect && now - entry.seen.since >= timeout) {
             change_state(entry, member_state::dead, now);
-            spread(entry);
+            enqueue(entry);
             changed = true;
         }
     }
@@ -280,24 +280,24 @@
 
 bool membership::forget(time_point now)
 {
-    const auto gone = [this, now](const auto& entry) {
+    const auto expired = [this, now](const auto& entry) {
         const auto& seen = entry.second.seen;
         if (seen.state == member_state::dead) {
-            return now - seen.since > timing_.remember_dead;
+            return now - seen.since > timing_.dead_retention;
         }
         return seen.state == member_state::left && entry.first != self_vm_ &&
-               now - seen.since > timing_.remember_left;
+               now - seen.since > timing_.left_retention;
     };
-    bool any = std::erase_if(members_, gone) > 0;
-    while (members_.size() > timing_.most_members) {
+    bool any = std::erase_if(members_, expired) > 0;
+    while (members_.size() > timing_.max_members) {
         const auto oldest =
             std::min_element(members_.begin(), members_.end(), [](const auto& a, const auto& b) {
                 const auto rank = [](const auto& entry) {
-                    return std::pair(counts_as_living(entry.second.seen.state), entry.second.seen.since);
+                    return std::pair(is_live(entry.second.seen.state), entry.second.seen.since);
                 };
                 return rank(a) < rank(b);
             });
-        if (counts_as_living(oldest->second.seen.state)) {
+        if (is_live(oldest->second.seen.state)) {
             break;
         }
         members_.erase(oldest);
@@ -306,7 +306,7 @@
     return any;
 }
 
-void membership::postpone(duration pause)
+void membership::extend_suspicions(duration pause)
 {
     for (auto& [vm, entry] : members_) {
         if (entry.seen.state == member_state::suspect) {
@@ -315,18 +315,18 @@
     }
 }
 
-std::vector<member_update> membership::take_news(std::size_t bytes)
+std::vector<member_update> membership::take_updates(std::size_t bytes)
 {
-    return news_.take(bytes, most_tellings(members_.size()));
+    return updates_.take(bytes, transmit_limit(members_.size()));
 }
 
-std::vector<member_update> membership::said_of(const std::string& vm) const
+std::vector<member_update> membership::update_about(const std::string& vm) const
 {
     const auto found = members_.find(vm);
     if (found == members_.end() || found->second.seen.state == member_state::alive) {
         return {};
     }
-    return {claim_of(found->second.seen)};
+    return {update_of(found->second.seen)};
 }
 
 std::vector<member> membership::members() const
@@ -335,7 +335,7 @@
     list.reserve(members_.size());
     for (const auto& [vm, entry] : members_) {
         list.push_back(entry.seen);
-        if (entry.shown_held && entry.seen.state == member_state::alive) {
+        if (entry.damped && entry.seen.state == member_state::alive) {
             list.back().state = member_state::suspect;
         }
     }
@@ -376,29 +376,29 @@
 view_difference membership::compare(const std::vector<member_summary>& theirs) const
 {
     std::map<std::uint64_t, member_summary> by_hash;
-    for (const auto& line : theirs) {
-        by_hash[line.vm_hash] = line;
+    for (const auto& summary : theirs) {
+        by_hash[summary.vm_hash] = summary;
     }
     view_difference found;
     for (const auto& [vm, entry] : members_) {
-        const auto line = by_hash.find(vm_hash(vm));
+        const auto match = by_hash.find(vm_hash(vm));
         const auto ours = summary_of(entry.seen);
-        if (line == by_hash.end()) {
+        if (match == by_hash.end()) {
             if (entry.seen.state == member_state::alive) {
-                found.newer_here.push_back(claim_of(entry.seen));
+                found.newer_here.push_back(update_of(entry.seen));
             }
             continue;
         }
-        if (is_newer(ours, line->second)) {
-            found.newer_here.push_back(claim_of(entry.seen));
+        if (is_newer(ours, match->second)) {
+            found.newer_here.push_back(update_of(entry.seen));
         }
-        else if (is_newer(line->second, ours)) {
-            found.wanted.push_back(line->first);
+        else if (is_newer(match->second, ours)) {
+            found.wanted.push_back(match->first);
         }
-        by_hash.erase(line);
+        by_hash.erase(match);
     }
-    for (const auto& [hash, line] : by_hash) {
-        if (line.state == member_state::alive) {
+    for (const auto& [hash, summary] : by_hash) {
+        if (summary.state == member_state::alive) {
             found.wanted.push_back(hash);
         }
     }
@@ -410,7 +410,7 @@
     std::vector<member_update> found;
     for (const auto& [vm, entry] : members_) {
         if (std::find(wanted.begin(), wanted.end(), vm_hash(vm)) != wanted.end()) {
-            found.push_back(claim_of(entry.seen));
+            found.push_back(update_of(entry.seen));
         }
     }
     return found;
@@ -429,7 +429,7 @@
             ++reached;
         }
     }
-    return expected > 1 && reached * isolated_share < expected;
+    return expected > 1 && reached * isolated_divisor < expected;
 }
 
 } // namespace vanillagauge::fleet
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -14,13 +14,13 @@
 namespace vanillagauge::fleet {
 
 struct membership_timing {
-    milliseconds suspicion{1500};             ///< least time a suspect has to refute
+    milliseconds suspicion_timeout{1500};     ///< least time a suspect has to refute
     milliseconds suspicion_per_doubling{500}; ///< added for each doubling of the fleet beyond 8
-    milliseconds remember_dead{86400000};     ///< a dead VM is kept, and tried again, for this long
-    milliseconds remember_left{600000};
-    milliseconds flap_memory{60000}; ///< one recovery is forgotten after this long
-    milliseconds longest_hold{60000};
-    std::size_t most_members = 4096; ///< beyond it the longest dead are forgotten first
+    milliseconds dead_retention{86400000};    ///< a dead VM is kept, and tried again, for this long
+    milliseconds left_retention{600000};
+    milliseconds flap_decay{60000}; ///< one recovery is forgotten after this long
+    milliseconds max_damping{60000};
+    std::size_t max_members = 4096; ///< beyond it the longest dead are forgotten first
 };
 
 struct member {
@@ -54,9 +54,9 @@
     /// heartbeat.
     bool announce(node self, time_point now);
     /// Takes what a peer says of a VM; true where it was news. A false claim about this VM is refuted.
-    bool merge(const member_update& said, time_point now);
+    bool merge(const member_update& update, time_point now);
     /// Takes the claims that a comparison of views brought; true where any was news.
-    bool merge_compared(const std::vector<member_update>& claims, time_point now);
+    bool merge_diff(const std::vector<member_update>& updates, time_point now);
     /// A probe of this VM went unanswered, directly and through others.
     void suspect(const std::string& vm, time_point now);
     /// Notes which configuration a VM was seen to hold.
@@ -66,11 +66,11 @@
     /// Ends suspicions that were not refuted in time and forgets the long dead; true where a state changed.
     bool tick(time_point now);
     /// Moves all running suspicions by the time this process did not run.
-    void postpone(duration pause);
+    void extend_suspicions(duration pause);
     /// Updates that peers should hear, least told first, within `bytes`.
-    std::vector<member_update> take_news(std::size_t bytes);
+    std::vector<member_update> take_updates(std::size_t bytes);
     /// What this view says of a VM, to be told to it so that it can refute.
-    std::vector<member_update> said_of(const std::string& vm) const;
+    std::vector<member_update> update_about(const std::string& vm) const;
 
     // Queries.
     const node& self() const { return members_.at(self_vm_).seen.info; }
@@ -84,40 +84,40 @@
     std::uint64_t digest() const { return digest_; }
     /// Grows with everything that members() shows.
     std::uint64_t generation() const { return generation_; }
-    bool has_news() const { return !news_.empty(); }
+    bool has_updates() const { return !updates_.empty(); }
     /// Bytes that the smallest waiting claim needs.
-    std::size_t smallest_news() const { return news_.smallest(); }
+    std::size_t smallest_update() const { return updates_.smallest(); }
     /// This VM reaches fewer than a quarter of the members that did not leave: it is more likely cut off than
     /// alone alive.
     bool isolated() const;
-    milliseconds suspicion_time() const;
+    milliseconds suspicion_timeout() const;
     /// When a VM last came back from the dead.
-    std::optional<time_point> last_return() const { return last_return_; }
+    std::optional<time_point> last_recovery() const { return last_recovery_; }
 
 private:
-    struct held {
+    struct member_entry {
         member seen;
         int recoveries = 0; ///< returns from the dead that still count
         time_point last_recovery{};
-        time_point hold_until{}; ///< shown as suspect until then
-        bool shown_held = false;
+        time_point damped_until{}; ///< shown as suspect until then
+        bool damped = false;
     };
     std::string self_vm_;
     membership_timing timing_;
-    std::map<std::string, held> members_;
-    update_queue news_;
+    std::map<std::string, member_entry> members_;
+    update_queue updates_;
     std::uint64_t digest_ = 0;
     std::uint64_t generation_ = 1;
-    std::optional<time_point> last_return_;
+    std::optional<time_point> last_recovery_;
 
-    void spread(const held& entry);
-    void change_state(held& entry, member_state state, time_point now);
-    void replace(held& entry, const member_update& said, time_point now);
-    bool take(const member_update& said, time_point now, bool tell_on);
-    bool refute(const member_update& said, time_point now);
-    void note_recovery(held& entry, time_point now);
+    void enqueue(const member_entry& entry);
+    void change_state(member_entry& entry, member_state state, time_point now);
+    void replace(member_entry& entry, const member_update& update, time_point now);
+    bool apply(const member_update& update, time_point now, bool forward);
+    bool refute(const member_update& update, time_point now);
+    void note_recovery(member_entry& entry, time_point now);
     bool forget(time_point now);
-    void count_in_digest(const held& entry);
+    void toggle_in_digest(const member_entry& entry);
 };
 
 } // namespace vanillagauge::fleet
--- a/src/fleet/node.cpp
+++ b/src/fleet/node.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 /// Tags, lengths, numbers and flags of an encoded claim and of an encoded process.
-constexpr std::size_t claim_overhead = 32;
+constexpr std::size_t update_overhead = 32;
 constexpr std::size_t process_overhead = 32;
 
 } // namespace
@@ -28,15 +28,15 @@
 
 bool supersedes(const member_update& left, const member_update& right)
 {
-    const auto rank = [](const member_update& claim) {
-        return std::tuple(claim.info.incarnation, claim.info.heartbeat, claim.state);
+    const auto rank = [](const member_update& update) {
+        return std::tuple(update.info.incarnation, update.info.heartbeat, update.state);
     };
     return rank(left) > rank(right);
 }
 
 std::size_t estimated_size(const member_update& update)
 {
-    std::size_t bytes = claim_overhead + update.info.vm.size();
+    std::size_t bytes = update_overhead + update.info.vm.size();
     if (update.state != member_state::alive) {
         return bytes;
     }
--- a/src/fleet/update_queue.cpp
+++ b/src/fleet/update_queue.cpp
@@ -20,11 +20,12 @@
     return least;
 }
 
-std::vector<member_update> update_queue::take(std::size_t bytes, int most_tellings)
+std::vector<member_update> update_queue::take(std::size_t bytes, int transmit_limit)
 {
     // Least told first: a fresh death must not wait behind claims that most of the fleet has heard.
-    std::stable_sort(queue_.begin(), queue_.end(),
-                     [](const queued& left, const queued& right) { return left.tellings < right.tellings; });
+    std::stable_sort(queue_.begin(), queue_.end(), [](const queued& left, const queued& right) {
+        return left.transmissions < right.transmissions;
+    });
     std::vector<member_update> taken;
     for (auto& item : queue_) {
         const auto size = estimated_size(item.update);
@@ -32,10 +33,11 @@
             continue;
         }
         bytes -= size;
-        ++item.tellings;
+        ++item.transmissions;
         taken.push_back(item.update);
     }
-    std::erase_if(queue_, [most_tellings](const queued& item) { return item.tellings >= most_tellings; });
+    std::erase_if(queue_,
+                  [transmit_limit](const queued& item) { return item.transmissions >= transmit_limit; });
     return taken;
 }
 
--- a/src/fleet/update_queue.hpp
+++ b/src/fleet/update_queue.hpp
@@ -13,7 +13,7 @@
     /// Replaces what was queued about the same VM.
     void push(member_update update);
     /// The least told claims that fit into `bytes`; each is dropped after `most_tellings`.
-    std::vector<member_update> take(std::size_t bytes, int most_tellings);
+    std::vector<member_update> take(std::size_t bytes, int transmit_limit);
     bool empty() const { return queue_.empty(); }
     /// Estimated bytes of the smallest claim; 0 where there is none.
     std::size_t smallest() const;
@@ -21,7 +21,7 @@
 private:
     struct queued {
         member_update update;
-        int tellings = 0;
+        int transmissions = 0;
     };
     std::vector<queued> queue_;
 };
--- a/src/keeper/keeper_state.cpp
+++ b/src/keeper/keeper_state.cpp
@@ -150,7 +150,7 @@
     bool news = false;
     {
         const std::lock_guard lock(members_mutex_);
-        detector_.merge_compared(claims, now);
+        detector_.merge_diff(claims, now);
         news = note_generation();
     }
     if (news) {
--- a/src/node/convert.cpp
+++ b/src/node/convert.cpp
@@ -23,8 +23,8 @@
 
 fleet::datagram_kind parse_kind(std::uint32_t number)
 {
-    const bool known = number <= static_cast<std::uint32_t>(fleet::datagram_kind::news);
-    return known ? static_cast<fleet::datagram_kind>(number) : fleet::datagram_kind::news;
+    const bool known = number <= static_cast<std::uint32_t>(fleet::datagram_kind::gossip);
+    return known ? static_cast<fleet::datagram_kind>(number) : fleet::datagram_kind::gossip;
 }
 
 } // namespace
--- a/tests/fleet/fleet_loop.hpp
+++ b/tests/fleet/fleet_loop.hpp
@@ -38,7 +38,7 @@
             all.push_back({one.detector->view().self(), member_state::alive});
         }
         for (auto& [vm, one] : machines_) {
-            one.detector->merge_compared(all, now_);
+            one.detector->merge_diff(all, now_);
         }
     }
 
@@ -203,8 +203,8 @@
                 bytes += estimated_size(claim);
             }
         }
-        here.detector->merge_compared(found.newer_here, now_);
-        there.detector->merge_compared(answer, now_);
+        here.detector->merge_diff(found.newer_here, now_);
+        there.detector->merge_diff(answer, now_);
         here.compared_bytes += bytes;
         there.compared_bytes += bytes;
     }
