--- a/src/fleet/lease.cpp
+++ b/src/fleet/lease.cpp
@@ -10,9 +10,9 @@
 /// A cycle is one list and one write. Beyond the size at which all VMs together reach this rate, leases get
 /// longer instead of the store busier.
 constexpr std::int64_t cycles_per_second = 16;
-constexpr int cycles_per_length = 3;
+constexpr int cycles_per_ttl = 3;
 constexpr milliseconds retry_after{1000};
-constexpr int most_doublings = 5;
+constexpr int max_doublings = 5;
 constexpr std::chrono::minutes abandoned_after{10};
 
 } // namespace
@@ -21,32 +21,32 @@
 {
     lease_timing timing;
     const milliseconds spread{static_cast<std::int64_t>(members) * 1000 / cycles_per_second};
-    timing.renew_every = std::max(timing.renew_every, spread);
-    timing.length = timing.renew_every * cycles_per_length;
+    timing.renew_interval = std::max(timing.renew_interval, spread);
+    timing.ttl = timing.renew_interval * cycles_per_ttl;
     return timing;
 }
 
 bool lease_cycle::begin(time_point now)
 {
-    if (under_way_ || now < next_cycle_) {
+    if (in_progress_ || now < next_cycle_) {
         return false;
     }
-    under_way_ = true;
+    in_progress_ = true;
     cycle_started_ = now;
-    next_cycle_ = now + timing_.renew_every;
+    next_cycle_ = now + timing_.renew_interval;
     return true;
 }
 
 // The other holder's clock is not known here. Its lease ends at the latest one length after the renewal was
 // sent, which was before this VM first saw that version.
-bool lease_cycle::lapsed(const seen_lease& lease, time_point now) const
+bool lease_cycle::expired(const observed_lease& lease, time_point now) const
 {
-    return now - lease.first_seen > lease.length + timing_.clock_margin + timing_.longest_order;
+    return now - lease.first_seen > lease.ttl + timing_.clock_margin + timing_.max_order_time;
 }
 
 renew_lease lease_cycle::listed(const std::vector<lease_record>& records, time_point now)
 {
-    std::map<std::string, seen_lease> seen;
+    std::map<std::string, observed_lease> seen;
     pending_holders_ = {vm_};
     own_version_ = 0;
     for (const auto& record : records) {
@@ -56,53 +56,53 @@
         }
         const auto before = others_.find(record.vm);
         const bool same = before != others_.end() && before->second.version == record.version;
-        seen[record.vm] = {record.version, record.length, same ? before->second.first_seen : now};
-        if (!lapsed(seen[record.vm], now)) {
+        seen[record.vm] = {record.version, record.ttl, same ? before->second.first_seen : now};
+        if (!expired(seen[record.vm], now)) {
             pending_holders_.push_back(record.vm);
         }
     }
     others_ = std::move(seen);
-    return {own_version_, timing_.length};
+    return {own_version_, timing_.ttl};
 }
 
 // The lease runs from the start of the cycle, before the list: the holder then knows no older set of holders
 // than its lease is long, and a reply that waited in a paused process extends nothing.
 void lease_cycle::renewed(std::uint64_t version, time_point now)
 {
-    under_way_ = false;
+    in_progress_ = false;
     failures_ = 0;
-    const bool continued = fencing_ != 0 && now < held_until_;
+    const bool continued = fencing_token_ != 0 && now < held_until_;
     if (!continued) {
         // Whoever took over in between does not know of this lease before its own next cycle, and acts until
         // then at the most one length. Acting at once would make two owners.
-        acting_from_ = now + timing_.length + timing_.clock_margin + timing_.longest_order;
+        effective_from_ = now + timing_.ttl + timing_.clock_margin + timing_.max_order_time;
     }
     // Also where the lease went on: a VM that takes over from a lapsed one needs a number above all of the
     // other's, and this update came after the list that showed the lapse.
-    fencing_ = version;
-    held_until_ = cycle_started_ + timing_.length;
+    fencing_token_ = version;
+    held_until_ = cycle_started_ + timing_.ttl;
     holders_ = pending_holders_;
 }
 
 void lease_cycle::failed(time_point now)
 {
-    under_way_ = false;
+    in_progress_ = false;
     // Spread by name and attempt: in an outage the fleet's retries must neither come at one moment nor grow
     // beyond the rate of its renewals.
-    const auto longest =
-        std::min(timing_.renew_every, retry_after * (1 << std::min(failures_, most_doublings)));
-    const auto half = static_cast<std::uint64_t>(longest.count() / 2);
+    const auto max_delay =
+        std::min(timing_.renew_interval, retry_after * (1 << std::min(failures_, max_doublings)));
+    const auto half = static_cast<std::uint64_t>(max_delay.count() / 2);
     const auto jitter = hash64(vm_, static_cast<std::uint64_t>(failures_)) % half;
     ++failures_;
     next_cycle_ = now + milliseconds{static_cast<std::int64_t>(half + 1 + jitter)};
 }
 
-lease_hold lease_cycle::held(time_point now) const
+held_lease lease_cycle::held(time_point now) const
 {
-    if (fencing_ == 0 || now >= held_until_ || now < acting_from_) {
+    if (fencing_token_ == 0 || now >= held_until_ || now < effective_from_) {
         return {};
     }
-    return {fencing_, remaining(now, held_until_)};
+    return {fencing_token_, remaining(now, held_until_)};
 }
 
 // A VM that crashed and was replaced under another name leaves its lease behind. At thousands of replacements
@@ -111,19 +111,19 @@
 {
     std::vector<lease_record> found;
     for (const auto& [vm, lease] : others_) {
-        if (lapsed(lease, now) && now - lease.first_seen > abandoned_after) {
-            found.push_back({vm, lease.version, lease.length});
+        if (expired(lease, now) && now - lease.first_seen > abandoned_after) {
+            found.push_back({vm, lease.version, lease.ttl});
         }
     }
     return found;
 }
 
-std::string lease_cycle::owner_of(const std::string& thing, time_point now) const
+std::string lease_cycle::owner_of(const std::string& key, time_point now) const
 {
-    if (held(now).fencing == 0) {
+    if (held(now).fencing_token == 0) {
         return {};
     }
-    return ranked_owners(thing, holders_).front();
+    return ranked_owners(key, holders_).front();
 }
 
 } // namespace vanillagauge::fleet
--- a/src/fleet/lease.hpp
+++ b/src/fleet/lease.hpp
@@ -15,11 +15,11 @@
 namespace vanillagauge::fleet {
 
 struct lease_timing {
-    milliseconds length{15000};
-    milliseconds renew_every{5000};
+    milliseconds ttl{15000};
+    milliseconds renew_interval{5000};
     milliseconds clock_margin{500}; ///< for clocks that run at different speeds over one length
     /// The longest that an order may take from the holder's last look at its clock until the target has it.
-    milliseconds longest_order{2000};
+    milliseconds max_order_time{2000};
 };
 
 /// The timing for a fleet of this size: the renewals of all VMs together stay below a fixed rate.
@@ -28,17 +28,17 @@
 struct lease_record {
     std::string vm;
     std::uint64_t version = 0;
-    milliseconds length{0};
+    milliseconds ttl{0};
 };
 
 struct renew_lease {
     std::uint64_t expected_version = 0;
-    milliseconds length{0};
+    milliseconds ttl{0};
 };
 
-struct lease_hold {
-    std::uint64_t fencing = 0; ///< 0: not held, or not yet to be acted on
-    milliseconds left{0};
+struct held_lease {
+    std::uint64_t fencing_token = 0; ///< 0: not held, or not yet to be acted on
+    milliseconds remaining{0};
 };
 
 class lease_cycle {
@@ -53,37 +53,37 @@
     void renewed(std::uint64_t version, time_point now);
     /// The outcome is bad or not known. The lease is not extended.
     void failed(time_point now);
-    void use(lease_timing timing) { timing_ = timing; }
+    void set_timing(lease_timing timing) { timing_ = timing; }
 
     // Queries.
     /// To be asked again after every wait: a holder that was paused learns here that its lease is over.
-    lease_hold held(time_point now) const;
+    held_lease held(time_point now) const;
     /// Leases that this VM has not seen change for so long that nobody waits for their end any more.
     std::vector<lease_record> abandoned(time_point now) const;
     /// The owner among the VMs whose lease stands; empty where this VM holds none and so cannot tell.
-    std::string owner_of(const std::string& thing, time_point now) const;
+    std::string owner_of(const std::string& key, time_point now) const;
 
 private:
-    struct seen_lease {
+    struct observed_lease {
         std::uint64_t version = 0;
-        milliseconds length{0};
+        milliseconds ttl{0};
         time_point first_seen;
     };
     std::string vm_;
     lease_timing timing_;
-    bool under_way_ = false;
+    bool in_progress_ = false;
     time_point cycle_started_;
     time_point next_cycle_;
-    std::map<std::string, seen_lease> others_;
+    std::map<std::string, observed_lease> others_;
     std::vector<std::string> pending_holders_;
     std::vector<std::string> holders_; ///< as the last complete cycle found them
     std::uint64_t own_version_ = 0;
     int failures_ = 0; ///< cycles in a row
-    std::uint64_t fencing_ = 0;
+    std::uint64_t fencing_token_ = 0;
     time_point held_until_;
-    time_point acting_from_;
+    time_point effective_from_;
 
-    bool lapsed(const seen_lease& lease, time_point now) const;
+    bool expired(const observed_lease& lease, time_point now) const;
 };
 
 } // namespace vanillagauge::fleet
--- a/src/fleet/rendezvous.cpp
+++ b/src/fleet/rendezvous.cpp
@@ -6,9 +6,9 @@
 
 namespace vanillagauge::fleet {
 
-std::vector<std::string> ranked_owners(const std::string& thing, std::vector<std::string> members)
+std::vector<std::string> ranked_owners(const std::string& key, std::vector<std::string> members)
 {
-    const auto score = [&thing](const std::string& member) { return hash64(thing, hash64(member)); };
+    const auto score = [&key](const std::string& member) { return hash64(key, hash64(member)); };
     std::sort(members.begin(), members.end(), [&score](const std::string& left, const std::string& right) {
         const auto left_score = score(left);
         const auto right_score = score(right);
--- a/src/fleet/rendezvous.hpp
+++ b/src/fleet/rendezvous.hpp
@@ -8,7 +8,7 @@
 namespace vanillagauge::fleet {
 
 /// Members in the order in which they would own `thing`. A member that leaves moves only what it owned.
-std::vector<std::string> ranked_owners(const std::string& thing, std::vector<std::string> members);
+std::vector<std::string> ranked_owners(const std::string& key, std::vector<std::string> members);
 
 } // namespace vanillagauge::fleet
 
--- a/src/fleet/watchers.cpp
+++ b/src/fleet/watchers.cpp
@@ -20,8 +20,9 @@
     }
     for (const bool other_domain_only : {true, false}) {
         for (const auto& vm : ranked) {
-            const bool taken = std::find(chosen.begin(), chosen.end(), vm) != chosen.end();
-            if (chosen.size() >= count || taken || (other_domain_only && used.contains(domains.at(vm)))) {
+            const bool already_chosen = std::find(chosen.begin(), chosen.end(), vm) != chosen.end();
+            if (chosen.size() >= count || already_chosen ||
+                (other_domain_only && used.contains(domains.at(vm)))) {
                 continue;
             }
             chosen.push_back(vm);
--- a/src/keeper/lease_keeper.cpp
+++ b/src/keeper/lease_keeper.cpp
@@ -42,7 +42,7 @@
     store_.share_between(members);
     const bool begins = [this, members] {
         const std::lock_guard lock(mutex_);
-        cycle_.use(fleet::lease_timing_for(members));
+        cycle_.set_timing(fleet::lease_timing_for(members));
         return cycle_.begin(steady::now());
     }();
     if (!begins) {
@@ -79,7 +79,7 @@
         const std::lock_guard lock(mutex_);
         return cycle_.listed(records, steady::now());
     }();
-    const objects::write change{lease_kind, vm_, to_text(renewal.length, state_.self().peer_address),
+    const objects::write change{lease_kind, vm_, to_text(renewal.ttl, state_.self().peer_address),
                                 renewal.expected_version};
     store_.write_object(
         change,
@@ -125,7 +125,7 @@
     cycle_.failed(steady::now());
 }
 
-fleet::lease_hold lease_keeper::held(time_point now) const
+fleet::held_lease lease_keeper::held(time_point now) const
 {
     const std::lock_guard lock(mutex_);
     return cycle_.held(now);
--- a/src/keeper/lease_keeper.hpp
+++ b/src/keeper/lease_keeper.hpp
@@ -22,7 +22,7 @@
     void start() { turn(); }
     /// Runs with the peer addresses that the leases name, after each list.
     void on_peers(std::function<void(std::vector<std::string>)> handler) { on_peers_ = std::move(handler); }
-    fleet::lease_hold held(time_point now) const;
+    fleet::held_lease held(time_point now) const;
     std::string owner_of(const std::string& thing, time_point now) const;
 
 private:
--- a/src/keeper/local_service.cpp
+++ b/src/keeper/local_service.cpp
@@ -52,8 +52,8 @@
         }
     }
     const auto lease = lease_.held(steady::now());
-    follower.reply->set_lease_fencing(lease.fencing);
-    follower.reply->set_lease_left_ms(lease.left.count());
+    follower.reply->set_lease_fencing(lease.fencing_token);
+    follower.reply->set_lease_left_ms(lease.remaining.count());
     follower.reply->set_revision(revision);
     follower.reply->set_keeper_incarnation(state_.incarnation());
     follower.reply->set_draining(state_.draining());
--- a/tests/claims/pair_tests.cpp
+++ b/tests/claims/pair_tests.cpp
@@ -171,17 +171,17 @@
 {
     primary side(memory_limits{.keys = 8, .keys_per_pair = 8});
     int admitted = 0;
-    for (int place = 0; place < 20; ++place) {
-        const auto id = "k" + std::to_string(place);
-        const auto actions = side.call(key(id), charge, static_cast<waiter_id>(place), now);
+    for (int index = 0; index < 20; ++index) {
+        const auto id = "k" + std::to_string(index);
+        const auto actions = side.call(key(id), charge, static_cast<waiter_id>(index), now);
         admitted += static_cast<int>(all<send_record>(actions).size());
         EXPECT_LE(side.keys(), 8U);
     }
     EXPECT_EQ(admitted, 6);
     // A refusal that cannot be remembered must not promise that the key never runs.
     EXPECT_EQ(only_error(side.call(key("late"), charge, 99, now)).ran, run_state::in_doubt);
-    for (int place = 0; place < admitted; ++place) {
-        side.refused(key("k" + std::to_string(place)), refusal::backup_unreachable);
+    for (int index = 0; index < admitted; ++index) {
+        side.refused(key("k" + std::to_string(index)), refusal::backup_unreachable);
     }
     side.expire(expiry);
     EXPECT_EQ(side.keys(), 0U);
--- a/tests/claims/run_guard_tests.cpp
+++ b/tests/claims/run_guard_tests.cpp
@@ -103,8 +103,9 @@
         }
         const std::string head(static_cast<const char*>(buffer.data().data()), head_size);
         const std::string name = "Content-Length:"; // stoul skips a space
-        const auto place = head.find(name);
-        const auto length = place == std::string::npos ? 0U : std::stoul(head.substr(place + name.size()));
+        const auto position = head.find(name);
+        const auto length =
+            position == std::string::npos ? 0U : std::stoul(head.substr(position + name.size()));
         const auto wanted = head_size + length;
         if (buffer.size() < wanted) {
             boost::asio::read(socket, buffer, boost::asio::transfer_exactly(wanted - buffer.size()), broken);
@@ -153,13 +154,13 @@
     charging_target target;
     wire::event_loop loop;
     auto pooled = node::http_channels(loop);
-    for (int place = 1; place <= 20; ++place) {
+    for (int index = 1; index <= 20; ++index) {
         ASSERT_TRUE(ok(call(*pooled.at(target.address()), "warm")));
         const auto guarded = guarded_channels(pooled);
         const auto outcome = call(*guarded->at(target.address()), "charge");
         ASSERT_FALSE(ok(outcome));
         EXPECT_EQ(failure(outcome).ran, run_state::in_doubt);
-        EXPECT_EQ(target.charges(), place);
+        EXPECT_EQ(target.charges(), index);
     }
 }
 
--- a/tests/fleet/lease_tests.cpp
+++ b/tests/fleet/lease_tests.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr lease_timing timing{};
-const milliseconds takeover = timing.length + timing.clock_margin + timing.longest_order;
+const milliseconds takeover = timing.ttl + timing.clock_margin + timing.max_order_time;
 
 /// The leases as a store holds them.
 struct lease_store {
@@ -24,9 +24,9 @@
         return found;
     }
 
-    std::uint64_t renew(const std::string& vm, milliseconds length)
+    std::uint64_t renew(const std::string& vm, milliseconds ttl)
     {
-        records[vm] = {vm, ++revision, length};
+        records[vm] = {vm, ++revision, ttl};
         return revision;
     }
 
@@ -34,7 +34,7 @@
     {
         if (holder.begin(now)) {
             const auto update = holder.listed(list(), now);
-            holder.renewed(renew(vm, update.length), now);
+            holder.renewed(renew(vm, update.ttl), now);
         }
     }
 };
@@ -45,11 +45,11 @@
     lease_cycle a("a", timing);
     time_point now{};
     store.cycle(a, "a", now);
-    EXPECT_EQ(a.held(now).fencing, 0U);
+    EXPECT_EQ(a.held(now).fencing_token, 0U);
     for (; now - time_point{} < takeover + seconds{1}; now += seconds{1}) {
         store.cycle(a, "a", now);
     }
-    EXPECT_NE(a.held(now).fencing, 0U);
+    EXPECT_NE(a.held(now).fencing_token, 0U);
 }
 
 // A holder is paused past the end of its lease and wakes. It would act on what another owns by now; its own
@@ -62,9 +62,9 @@
     for (; now - time_point{} < 2 * takeover; now += seconds{1}) {
         store.cycle(a, "a", now);
     }
-    ASSERT_NE(a.held(now).fencing, 0U);
-    now += timing.length;
-    EXPECT_EQ(a.held(now).fencing, 0U);
+    ASSERT_NE(a.held(now).fencing_token, 0U);
+    now += timing.ttl;
+    EXPECT_EQ(a.held(now).fencing_token, 0U);
     EXPECT_EQ(a.owner_of("job/x", now), "");
 }
 
@@ -78,13 +78,13 @@
     for (; now - time_point{} < 2 * takeover; now += seconds{1}) {
         store.cycle(a, "a", now);
     }
-    now += timing.renew_every;
+    now += timing.renew_interval;
     ASSERT_TRUE(a.begin(now));
     const auto update = a.listed(store.list(), now);
-    const auto version = store.renew("a", update.length);
-    now += timing.length + seconds{1};
+    const auto version = store.renew("a", update.ttl);
+    now += timing.ttl + seconds{1};
     a.renewed(version, now);
-    EXPECT_EQ(a.held(now).fencing, 0U);
+    EXPECT_EQ(a.held(now).fencing_token, 0U);
 }
 
 TEST(lease, an_unknown_outcome_extends_nothing_and_is_tried_again_soon)
@@ -94,7 +94,7 @@
     ASSERT_TRUE(a.begin(now));
     a.listed({}, now);
     a.failed(now);
-    EXPECT_EQ(a.held(now).fencing, 0U);
+    EXPECT_EQ(a.held(now).fencing_token, 0U);
     EXPECT_FALSE(a.begin(now + milliseconds{500}));
     EXPECT_TRUE(a.begin(now + milliseconds{1000}));
 }
@@ -111,20 +111,20 @@
         store.cycle(b, "b", now);
         store.cycle(a, "a", now);
     }
-    std::string thing;
-    for (int place = 0; thing.empty(); ++place) {
-        const auto name = "job/" + std::to_string(place);
-        thing = b.owner_of(name, now) == "a" ? name : "";
+    std::string key;
+    for (int index = 0; key.empty(); ++index) {
+        const auto name = "job/" + std::to_string(index);
+        key = b.owner_of(name, now) == "a" ? name : "";
     }
-    const auto last_of_a = a.held(now).fencing;
-    const auto a_until = now + a.held(now).left;
-    while (b.owner_of(thing, now) == "a") {
+    const auto last_of_a = a.held(now).fencing_token;
+    const auto a_until = now + a.held(now).remaining;
+    while (b.owner_of(key, now) == "a") {
         now += seconds{1};
         store.cycle(b, "b", now);
     }
-    EXPECT_EQ(b.owner_of(thing, now), "b");
-    EXPECT_GT(b.held(now).fencing, last_of_a);
-    EXPECT_GE(now, a_until + timing.longest_order) << "an order under way when the lease ended has arrived";
+    EXPECT_EQ(b.owner_of(key, now), "b");
+    EXPECT_GT(b.held(now).fencing_token, last_of_a);
+    EXPECT_GE(now, a_until + timing.max_order_time) << "an order under way when the lease ended has arrived";
 }
 
 TEST(lease, ownership_of_a_dead_holder_moves_alone_and_spreads_over_the_others)
@@ -146,22 +146,22 @@
     };
     run("", 2 * takeover);
     std::map<std::string, std::string> before;
-    for (int place = 0; place < 100; ++place) {
-        const auto thing = "job/" + std::to_string(place);
-        before[thing] = cycles.at("b").owner_of(thing, now);
+    for (int index = 0; index < 100; ++index) {
+        const auto key = "job/" + std::to_string(index);
+        before[key] = cycles.at("b").owner_of(key, now);
     }
     run("a", 3 * takeover);
-    std::set<std::string> heirs;
-    for (const auto& [thing, owner] : before) {
-        const auto after = cycles.at("b").owner_of(thing, now);
+    std::set<std::string> new_owners;
+    for (const auto& [key, owner] : before) {
+        const auto after = cycles.at("b").owner_of(key, now);
         if (owner == "a") {
-            heirs.insert(after);
+            new_owners.insert(after);
         }
         else {
-            EXPECT_EQ(after, owner) << thing;
+            EXPECT_EQ(after, owner) << key;
         }
     }
-    EXPECT_EQ(heirs, (std::set<std::string>{"b", "c", "d"}));
+    EXPECT_EQ(new_owners, (std::set<std::string>{"b", "c", "d"}));
 }
 
 TEST(lease, calls_only_those_abandoned_that_did_not_change_for_long)
@@ -170,7 +170,7 @@
     lease_cycle a("a", timing);
     lease_cycle b("b", timing);
     time_point now{};
-    store.renew("gone", timing.length);
+    store.renew("gone", timing.ttl);
     for (; now - time_point{} < std::chrono::minutes{11}; now += seconds{1}) {
         store.cycle(a, "a", now);
         store.cycle(b, "b", now);
@@ -184,8 +184,9 @@
 {
     constexpr std::size_t members = 350;
     const auto large = lease_timing_for(members);
-    EXPECT_LE(static_cast<double>(members) / std::chrono::duration<double>(large.renew_every).count(), 16.1);
-    EXPECT_EQ(lease_timing_for(8).renew_every, milliseconds{5000});
+    EXPECT_LE(static_cast<double>(members) / std::chrono::duration<double>(large.renew_interval).count(),
+              16.1);
+    EXPECT_EQ(lease_timing_for(8).renew_interval, milliseconds{5000});
 }
 
 } // namespace
--- a/tests/fleet/membership_tests.cpp
+++ b/tests/fleet/membership_tests.cpp
@@ -93,7 +93,7 @@
     fleet.run(detection_bound);
     EXPECT_TRUE(fleet.all_see("vm-003", member_state::dead));
     fleet.at("vm-003").paused = false;
-    for (int place = 0; place < 60; ++place) {
+    for (int index = 0; index < 60; ++index) {
         fleet.run(fleet_loop::step);
         for (const auto& seen : fleet.at("vm-003").detector->view().members()) {
             ASSERT_EQ(seen.state, member_state::alive) << seen.info.vm;
--- a/tests/fleet/rendezvous_tests.cpp
+++ b/tests/fleet/rendezvous_tests.cpp
@@ -9,12 +9,12 @@
 {
     const std::vector<std::string> all{"a", "b", "c", "d"};
     const std::vector<std::string> fewer{"a", "b", "c"};
-    for (int place = 0; place < 200; ++place) {
-        const std::string thing = "job/" + std::to_string(place);
-        const auto before = ranked_owners(thing, all).front();
-        const auto after = ranked_owners(thing, fewer).front();
+    for (int index = 0; index < 200; ++index) {
+        const std::string key = "job/" + std::to_string(index);
+        const auto before = ranked_owners(key, all).front();
+        const auto after = ranked_owners(key, fewer).front();
         if (before != "d") {
-            EXPECT_EQ(before, after) << thing;
+            EXPECT_EQ(before, after) << key;
         }
     }
 }
--- a/tests/fleet/watchers_tests.cpp
+++ b/tests/fleet/watchers_tests.cpp
@@ -11,10 +11,10 @@
 std::vector<member> fleet_of(std::size_t size, std::size_t domains)
 {
     std::vector<member> members;
-    for (std::size_t place = 0; place < size; ++place) {
+    for (std::size_t index = 0; index < size; ++index) {
         member entry;
-        entry.info.vm = "vm-" + std::to_string(place);
-        entry.info.failure_domain = "domain-" + std::to_string(place % domains);
+        entry.info.vm = "vm-" + std::to_string(index);
+        entry.info.failure_domain = "domain-" + std::to_string(index % domains);
         members.push_back(entry);
     }
     return members;
