--- a/tests/claims/interleaving_tests.cpp
+++ b/tests/claims/interleaving_tests.cpp
@@ -45,9 +45,9 @@
     out << "{" << static_cast<int>(item.what) << "," << item.pick << "}";
 }
 
-class world {
+class simulation {
 public:
-    void play(const step& item)
+    void apply(const step& item)
     {
         pick_ = item.pick;
         switch (item.what) {
@@ -62,20 +62,20 @@
             break;
         case event::deliver_acknowledgement:
             with(acknowledgements_,
-                 [this](const call_key& key) { take(primary_.acknowledged(key, primary_ms_)); });
+                 [this](const call_key& key) { collect(primary_.acknowledged(key, primary_ms_)); });
             break;
         case event::deliver_refusal:
             with(refusals_,
-                 [this](const call_key& key) { take(primary_.refused(key, refusal::pair_closed)); });
+                 [this](const call_key& key) { collect(primary_.refused(key, refusal::pair_closed)); });
             break;
         case event::time_out:
-            take(primary_.refused(key(), refusal::backup_unreachable));
+            collect(primary_.refused(key(), refusal::backup_unreachable));
             break;
         case event::dispatch:
             dispatch();
             break;
         case event::finish:
-            with(running_, [this](const call_key& key) { take(primary_.finished(key, answer_of(key))); });
+            with(running_, [this](const call_key& key) { collect(primary_.finished(key, answer_of(key))); });
             break;
         case event::deliver_settled:
             with(settled_, [this](const settled_record& record) { backup_.settle(record, backup_ms_); });
@@ -115,17 +115,17 @@
     std::int64_t backup_ms_ = start_ms;
     std::size_t pick_ = 0;
     waiter_id next_ = 0;
-    std::map<waiter_id, std::pair<call_key, std::uint64_t>> askers_;
+    std::map<waiter_id, std::pair<call_key, std::uint64_t>> waiters_;
     // Sent messages are never taken out: each may arrive again at any time.
     std::vector<send_record> records_;
     std::vector<call_key> acknowledgements_;
     std::vector<call_key> refusals_;
     std::vector<settled_record> settled_;
-    std::vector<call_key> granted_; ///< a paused home has these still before it
+    std::vector<call_key> pending_dispatches_; ///< a paused home has these still before it
     std::vector<call_key> running_;
     // The truth.
     std::map<std::string, std::uint64_t> run_by_;
-    std::set<std::pair<std::string, std::uint64_t>> told_not_run_;
+    std::set<std::pair<std::string, std::uint64_t>> answered_not_run_;
     int dispatches_ = 0;
 
     template <class Item, class Use>
@@ -148,8 +148,8 @@
             call_backup();
             return;
         }
-        askers_[++next_] = {key(), request()};
-        take(primary_.call(key(), request(), next_, primary_ms_));
+        waiters_[++next_] = {key(), request()};
+        collect(primary_.call(key(), request(), next_, primary_ms_));
     }
 
     void call_backup()
@@ -173,8 +173,9 @@
 
     void dispatch()
     {
-        with(granted_, [this](const call_key& key) {
-            std::erase_if(granted_, [&key](const call_key& item) { return item.suffix == key.suffix; });
+        with(pending_dispatches_, [this](const call_key& key) {
+            std::erase_if(pending_dispatches_,
+                          [&key](const call_key& item) { return item.suffix == key.suffix; });
             run(key);
         });
     }
@@ -187,7 +188,7 @@
         });
         RC_ASSERT(sent != records.end());
         RC_ASSERT(!run_by_.contains(key.suffix));
-        RC_ASSERT(!told_not_run_.contains({key.suffix, sent->fingerprint}));
+        RC_ASSERT(!answered_not_run_.contains({key.suffix, sent->fingerprint}));
         run_by_[key.suffix] = sent->fingerprint;
         running_.push_back(key);
         ++dispatches_;
@@ -199,8 +200,8 @@
             return;
         }
         primary_.freeze();
-        for (const auto& [handed, records] : primary_.settled_records()) {
-            backup_.accept_transfer(handed, records, backup_ms_);
+        for (const auto& [transferred, records] : primary_.settled_records()) {
+            backup_.accept_transfer(transferred, records, backup_ms_);
         }
     }
 
@@ -208,42 +209,42 @@
     {
         primary_ = primary();
         primary_original_ = false;
-        granted_.clear();
+        pending_dispatches_.clear();
         running_.clear();
     }
 
-    void take(const primary_actions& actions)
+    void collect(const primary_actions& actions)
     {
         for (const auto& action : actions) {
             if (const auto* record = std::get_if<send_record>(&action)) {
                 records_.push_back(*record);
             }
-            else if (const auto* granted = std::get_if<dispatch_call>(&action)) {
-                granted_.push_back(granted->key);
+            else if (const auto* dispatched = std::get_if<dispatch_call>(&action)) {
+                pending_dispatches_.push_back(dispatched->key);
             }
-            else if (const auto* told = std::get_if<send_settled>(&action)) {
-                settled_.push_back(told->record);
+            else if (const auto* settled = std::get_if<send_settled>(&action)) {
+                settled_.push_back(settled->record);
             }
             else if (const auto* reply = std::get_if<send_reply>(&action)) {
-                const auto& [asked, request] = askers_.at(reply->waiter);
-                check(asked, request, reply->answer);
+                const auto& [key, request] = waiters_.at(reply->waiter);
+                check(key, request, reply->answer);
             }
         }
     }
 
-    void check(const call_key& asked, std::uint64_t request, const call_reply& told)
+    void check(const call_key& key, std::uint64_t request, const call_reply& reply)
     {
-        const auto ran = run_by_.find(asked.suffix);
+        const auto ran = run_by_.find(key.suffix);
         const bool request_ran = ran != run_by_.end() && ran->second == request;
-        if (ok(told.answer)) {
+        if (ok(reply.answer)) {
             RC_ASSERT(request_ran);
-            RC_ASSERT(value(told.answer) == std::to_string(request));
+            RC_ASSERT(value(reply.answer) == std::to_string(request));
         }
-        else if (failure(told.answer).ran == run_state::not_run) {
+        else if (failure(reply.answer).ran == run_state::not_run) {
             RC_ASSERT(!request_ran);
-            told_not_run_.insert({asked.suffix, request});
+            answered_not_run_.insert({key.suffix, request});
         }
-        else if (failure(told.answer).ran == run_state::ran) {
+        else if (failure(reply.answer).ran == run_state::ran) {
             RC_ASSERT(request_ran);
         }
     }
@@ -277,11 +278,11 @@
 RC_GTEST_PROP(claim_interleavings, no_history_runs_a_key_twice_or_makes_an_answer_untrue, ())
 {
     const auto steps = *rc::gen::container<std::vector<step>>(any_step());
-    world played;
+    simulation simulated;
     for (const auto& item : steps) {
-        played.play(item);
+        simulated.apply(item);
     }
-    RC_CLASSIFY(played.dispatches() > 0, "with a dispatch");
+    RC_CLASSIFY(simulated.dispatches() > 0, "with a dispatch");
 }
 
 } // namespace
--- a/tests/claims/sockets_tests.cpp
+++ b/tests/claims/sockets_tests.cpp
@@ -15,13 +15,13 @@
 namespace {
 
 constexpr milliseconds deadline_time{6000};
-constexpr std::uint64_t first_run = 7;
-constexpr std::uint64_t later_run = 8;
+constexpr std::uint64_t first_incarnation = 7;
+constexpr std::uint64_t later_incarnation = 8;
 
 /// Tells every program the same list of entry processes.
-class keeper_stand_in final : public v1::KeeperLocal {
+class fake_keeper final : public v1::KeeperLocal {
 public:
-    keeper_stand_in()
+    fake_keeper()
     {
         calls_.mount(*this, wire::role::peer);
         address_ = value(server_.open("127.0.0.1:0"));
@@ -44,13 +44,13 @@
         done->Run();
     }
 
-    void tell(const std::string& vm, const std::string& peer_address)
+    void set_entry(const std::string& vm, const std::string& peer_address)
     {
         const std::lock_guard lock(mutex_);
         entries_[vm] = peer_address;
     }
 
-    std::size_t told() const
+    std::size_t entry_count() const
     {
         const std::lock_guard lock(mutex_);
         return entries_.size();
@@ -109,14 +109,14 @@
 
 class entry_process {
 public:
-    entry_process(const std::string& vm, std::uint64_t incarnation, keeper_stand_in& keeper, target_log& log)
+    entry_process(const std::string& vm, std::uint64_t incarnation, fake_keeper& keeper, target_log& log)
         : settings_(settings_of(vm, keeper.address())), keeper_(loop_, settings_),
           peers_(node::peer_channels(loop_)),
           calls_({vm, loop_, keeper_, peers_, "peer", metrics_, incarnation}, log.runner()), service_(calls_)
     {
         dispatcher_.mount(service_, wire::role::peer);
         peer_address_ = value(server_->open("127.0.0.1:0"));
-        keeper.tell(vm, peer_address_);
+        keeper.set_entry(vm, peer_address_);
         keeper_.follow({"entry", incarnation, "", peer_address_, false, 0});
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// Waits until the process has heard of that many others.
-    void know(std::size_t processes) const
+    void wait_for_peers(std::size_t processes) const
     {
         while (keeper_.current()->nodes.size() < processes) {
             std::this_thread::sleep_for(milliseconds{10});
@@ -148,7 +148,7 @@
         return answered->get_future().get();
     }
 
-    void disappear() { server_.reset(); }
+    void stop_server() { server_.reset(); }
     claim_calls& calls() { return calls_; }
 
 private:
@@ -165,7 +165,7 @@
 };
 
 /// Takes connections in its backlog and never answers: a connection gone silent.
-class silent_process {
+class unresponsive_process {
 public:
     std::string address() const { return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()); }
 
@@ -177,29 +177,29 @@
 
 std::string key_of(const std::string& suffix)
 {
-    const claims::claim_pair pair{{"home", first_run}, {"backup", first_run}};
+    const claims::claim_pair pair{{"home", first_incarnation}, {"backup", first_incarnation}};
     return claims::format_prefix(pair, wall_milliseconds() + 60000, 1) + suffix;
 }
 
-struct fleet {
-    keeper_stand_in keeper;
+struct cluster {
+    fake_keeper keeper;
     target_log log;
-    std::unique_ptr<entry_process> primary = start("home", first_run);
-    std::unique_ptr<entry_process> backup = start("backup", first_run);
-    std::unique_ptr<entry_process> third = start("third", first_run);
+    std::unique_ptr<entry_process> primary = start("home", first_incarnation);
+    std::unique_ptr<entry_process> backup = start("backup", first_incarnation);
+    std::unique_ptr<entry_process> third = start("third", first_incarnation);
 
-    fleet() { meet(); }
+    cluster() { wait_for_views(); }
 
     std::unique_ptr<entry_process> start(const std::string& vm, std::uint64_t incarnation)
     {
         return std::make_unique<entry_process>(vm, incarnation, keeper, log);
     }
 
-    void meet() const
+    void wait_for_views() const
     {
         for (const auto* process : {primary.get(), backup.get(), third.get()}) {
             if (process != nullptr) {
-                process->know(keeper.told());
+                process->wait_for_peers(keeper.entry_count());
             }
         }
     }
@@ -224,7 +224,7 @@
 
 TEST(claims_on_sockets, a_call_runs_once_and_its_repeats_anywhere_get_the_same_answer)
 {
-    fleet all;
+    cluster all;
     const auto key = key_of("-a");
     const auto first = all.third->call(key, "r1");
     ASSERT_TRUE(ok(first)) << describe(failure(first));
@@ -241,7 +241,7 @@
 
 TEST(claims_on_sockets, another_request_under_the_key_is_refused_everywhere)
 {
-    fleet all;
+    cluster all;
     const auto key = key_of("-a");
     ASSERT_TRUE(ok(all.third->call(key)));
     for (auto* process : {all.primary.get(), all.third.get()}) {
@@ -254,7 +254,7 @@
 
 TEST(claims_on_sockets, a_missing_or_malformed_key_is_refused_as_not_run)
 {
-    fleet all;
+    cluster all;
     for (const std::string key : {"", "no key"}) {
         const auto answer = all.primary->call(key);
         ASSERT_FALSE(ok(answer));
@@ -267,11 +267,11 @@
 // never claimed is "not run", and since the pair is closed it stays so.
 TEST(claims_on_sockets, with_the_primary_dead_the_backup_answers_from_memory)
 {
-    fleet all;
+    cluster all;
     const auto ran = key_of("-ran");
     const auto unseen = key_of("-unseen");
     ASSERT_TRUE(ok(all.primary->call(ran)));
-    all.primary->disappear();
+    all.primary->stop_server();
     EXPECT_EQ(run_state_of(all.third->call(unseen)), run_state::not_run);
     EXPECT_EQ(run_state_of(settled_repeat(*all.third, ran)), run_state::ran);
     // The home is only cut off from its peers: it still takes calls, but its claims are refused.
@@ -282,8 +282,8 @@
 
 TEST(claims_on_sockets, with_the_backup_dead_the_primary_runs_nothing_new)
 {
-    fleet all;
-    all.backup->disappear();
+    cluster all;
+    all.backup->stop_server();
     const auto key = key_of("-a");
     EXPECT_EQ(run_state_of(all.primary->call(key)), run_state::not_run);
     EXPECT_EQ(run_state_of(all.third->call(key)), run_state::not_run);
@@ -292,11 +292,11 @@
 
 TEST(claims_on_sockets, with_both_dead_a_call_is_in_doubt)
 {
-    fleet all;
+    cluster all;
     const auto key = key_of("-a");
     ASSERT_TRUE(ok(all.primary->call(key)));
-    all.primary->disappear();
-    all.backup->disappear();
+    all.primary->stop_server();
+    all.backup->stop_server();
     EXPECT_EQ(run_state_of(all.third->call(key)), run_state::in_doubt);
     EXPECT_EQ(all.log.runs_of(key), 1);
 }
@@ -305,12 +305,12 @@
 // so it gives the key up for good and says so long before the caller's deadline.
 TEST(claims_on_sockets, with_a_silent_link_to_the_backup_a_call_is_refused_as_not_run)
 {
-    fleet all;
-    const silent_process silent;
-    all.keeper.tell("backup", silent.address());
+    cluster all;
+    const unresponsive_process unresponsive;
+    all.keeper.set_entry("backup", unresponsive.address());
     const auto key = key_of("-a");
-    auto primary = all.start("home", first_run);
-    primary->know(all.keeper.told());
+    auto primary = all.start("home", first_incarnation);
+    primary->wait_for_peers(all.keeper.entry_count());
     const auto answer = primary->call(key);
     ASSERT_FALSE(ok(answer));
     EXPECT_EQ(failure(answer).ran, run_state::not_run);
@@ -322,12 +322,12 @@
 // within the caller's deadline.
 TEST(claims_on_sockets, with_a_silent_link_to_the_primary_the_backup_takes_over)
 {
-    fleet all;
+    cluster all;
     const auto key = key_of("-a");
-    const silent_process silent;
-    all.keeper.tell("home", silent.address());
-    auto backup = all.start("backup", first_run);
-    backup->know(all.keeper.told());
+    const unresponsive_process unresponsive;
+    all.keeper.set_entry("home", unresponsive.address());
+    auto backup = all.start("backup", first_incarnation);
+    backup->wait_for_peers(all.keeper.entry_count());
     const auto answer = backup->call(key);
     ASSERT_FALSE(ok(answer));
     EXPECT_EQ(failure(answer).ran, run_state::not_run);
@@ -336,12 +336,12 @@
 
 TEST(claims_on_sockets, a_restarted_primary_has_its_backup_decide_on_older_keys)
 {
-    fleet all;
+    cluster all;
     const auto ran = key_of("-ran");
     const auto unseen = key_of("-unseen");
     ASSERT_TRUE(ok(all.primary->call(ran)));
-    all.primary = all.start("home", later_run);
-    all.primary->know(all.keeper.told());
+    all.primary = all.start("home", later_incarnation);
+    all.primary->wait_for_peers(all.keeper.entry_count());
     EXPECT_EQ(run_state_of(all.primary->call(unseen)), run_state::not_run);
     const auto again = settled_repeat(*all.primary, ran);
     ASSERT_TRUE(ok(again)) << describe(failure(again));
@@ -351,13 +351,13 @@
 
 TEST(claims_on_sockets, with_both_restarted_an_older_key_is_in_doubt)
 {
-    fleet all;
+    cluster all;
     const auto key = key_of("-a");
     ASSERT_TRUE(ok(all.primary->call(key)));
-    all.primary = all.start("home", later_run);
-    all.backup = all.start("backup", later_run);
-    all.third = all.start("third", later_run);
-    all.meet();
+    all.primary = all.start("home", later_incarnation);
+    all.backup = all.start("backup", later_incarnation);
+    all.third = all.start("third", later_incarnation);
+    all.wait_for_views();
     for (auto* process : {all.primary.get(), all.backup.get(), all.third.get()}) {
         EXPECT_EQ(run_state_of(process->call(key)), run_state::in_doubt);
     }
@@ -366,7 +366,7 @@
 
 TEST(claims_on_sockets, a_planned_stop_leaves_the_answers_with_the_backup)
 {
-    fleet all;
+    cluster all;
     const auto ran = key_of("-ran");
     const auto late = key_of("-late");
     ASSERT_TRUE(ok(all.primary->call(ran)));
--- a/tests/fleet/fleet_loop.hpp
+++ b/tests/fleet/fleet_simulation.hpp
@@ -1,6 +1,6 @@
 /// Drives the failure detectors of a whole fleet in one loop, with messages delivered one step later.
-#ifndef VANILLAGAUGE_TESTS_FLEET_FLEET_LOOP_HPP
-#define VANILLAGAUGE_TESTS_FLEET_FLEET_LOOP_HPP
+#ifndef VANILLAGAUGE_TESTS_FLEET_FLEET_SIMULATION_HPP
+#define VANILLAGAUGE_TESTS_FLEET_FLEET_SIMULATION_HPP
 
 #include "fleet/fleet.hpp"
 
@@ -12,7 +12,7 @@
 
 namespace vanillagauge::fleet {
 
-class fleet_loop {
+class fleet_simulation {
 public:
     static constexpr milliseconds step{50};
 
@@ -28,10 +28,10 @@
         std::uint64_t config_version = 0;
     };
 
-    explicit fleet_loop(std::size_t size, std::size_t domains = 4, std::uint64_t seed = 7) : seed_(seed)
+    explicit fleet_simulation(std::size_t size, std::size_t domains = 4, std::uint64_t seed = 7) : seed_(seed)
     {
-        for (std::size_t place = 0; place < size; ++place) {
-            start(vm_at(place), "domain-" + std::to_string(place % domains), 1);
+        for (std::size_t index = 0; index < size; ++index) {
+            start(vm_at(index), "domain-" + std::to_string(index % domains), 1);
         }
         std::vector<member_update> all;
         for (const auto& [vm, one] : machines_) {
@@ -42,9 +42,9 @@
         }
     }
 
-    static std::string vm_at(std::size_t place)
+    static std::string vm_at(std::size_t index)
     {
-        const auto digits = std::to_string(place);
+        const auto digits = std::to_string(index);
         return "vm-" + std::string(3 - std::min<std::size_t>(3, digits.size()), '0') + digits;
     }
 
@@ -77,17 +77,17 @@
     }
 
     /// Runs until `reached` or for `most`; the time it took.
-    milliseconds run_until(const std::function<bool()>& reached, milliseconds most)
+    milliseconds run_until(const std::function<bool()>& condition, milliseconds timeout)
     {
         const auto start = now_;
-        while (!reached() && now_ - start < most) {
+        while (!condition() && now_ - start < timeout) {
             one_step();
         }
         return std::chrono::duration_cast<milliseconds>(now_ - start);
     }
 
     /// A VM takes a version of the configuration; the others pull it from whom they hear of it.
-    void hold_config(machine& one, std::uint64_t version)
+    void set_config(machine& one, std::uint64_t version)
     {
         if (version > one.config_version) {
             one.config_version = version;
@@ -146,23 +146,23 @@
     void one_step()
     {
         now_ += step;
-        std::vector<std::pair<std::string, detector_action>> made;
+        std::vector<std::pair<std::string, detector_action>> actions;
         for (auto& [vm, one] : machines_) {
             if (!one.running || one.paused) {
                 continue;
             }
             const auto inbox = std::exchange(one.inbox, {});
             for (auto& action : one.detector->tick(now_)) {
-                made.emplace_back(vm, std::move(action));
+                actions.emplace_back(vm, std::move(action));
             }
             for (const auto& message : inbox) {
-                hold_config(one, message.config.newest_version);
+                set_config(one, message.config.newest_version);
                 for (auto& action : one.detector->receive(message, now_)) {
-                    made.emplace_back(vm, std::move(action));
+                    actions.emplace_back(vm, std::move(action));
                 }
             }
         }
-        for (auto& [vm, action] : made) {
+        for (auto& [vm, action] : actions) {
             perform(vm, action);
         }
     }
@@ -191,16 +191,16 @@
 
     void compare(const std::string& vm, const std::string& other)
     {
-        constexpr std::size_t line_bytes = 26;
+        constexpr std::size_t summary_bytes = 26;
         auto& here = machines_.at(vm);
         auto& there = machines_.at(other);
-        const auto lines = here.detector->view().summary();
-        const auto found = there.detector->view().compare(lines);
-        std::size_t bytes = lines.size() * line_bytes + found.wanted.size() * sizeof(std::uint64_t);
+        const auto summaries = here.detector->view().summary();
+        const auto found = there.detector->view().compare(summaries);
+        std::size_t bytes = summaries.size() * summary_bytes + found.wanted.size() * sizeof(std::uint64_t);
         const auto answer = here.detector->view().updates_for(found.wanted);
-        for (const auto* claims : {&found.newer_here, &answer}) {
-            for (const auto& claim : *claims) {
-                bytes += estimated_size(claim);
+        for (const auto* updates : {&found.newer_here, &answer}) {
+            for (const auto& update : *updates) {
+                bytes += estimated_size(update);
             }
         }
         here.detector->merge_diff(found.newer_here, now_);
--- a/tests/fleet/membership_tests.cpp
+++ b/tests/fleet/membership_tests.cpp
@@ -1,4 +1,4 @@
-#include "fleet_loop.hpp"
+#include "fleet_simulation.hpp"
 
 #include <gtest/gtest.h>
 
@@ -8,14 +8,14 @@
 constexpr milliseconds settle{3000};
 constexpr milliseconds detection_bound{8000};
 
-std::string domain_of(fleet_loop& fleet, const std::string& vm)
+std::string domain_of(fleet_simulation& fleet, const std::string& vm)
 {
     return fleet.at(vm).detector->view().self().failure_domain;
 }
 
 TEST(membership, suspects_and_then_buries_a_silent_vm)
 {
-    fleet_loop fleet(8);
+    fleet_simulation fleet(8);
     fleet.run(settle);
     fleet.at("vm-003").running = false;
     bool suspected = false;
@@ -32,7 +32,7 @@
 
 TEST(membership, takes_a_restarted_vm_back_with_its_new_incarnation)
 {
-    fleet_loop fleet(8);
+    fleet_simulation fleet(8);
     fleet.run(settle);
     fleet.at("vm-003").running = false;
     fleet.run(detection_bound);
@@ -48,7 +48,7 @@
 // itself above it.
 TEST(membership, a_restarted_vm_with_an_older_clock_is_taken_back)
 {
-    fleet_loop fleet(8);
+    fleet_simulation fleet(8);
     fleet.start("vm-003", "domain-3", 1000);
     fleet.join("vm-003", "vm-000");
     fleet.run(settle);
@@ -64,7 +64,7 @@
 // answered them the old one would live on for ever and its work with it.
 TEST(membership, a_replaced_vm_does_not_answer_for_its_predecessor)
 {
-    fleet_loop fleet(8);
+    fleet_simulation fleet(8);
     fleet.run(settle);
     fleet.at("vm-003").running = false;
     auto& successor = fleet.start("vm-103", "domain-3", 2);
@@ -87,14 +87,14 @@
 // must not accuse its peers, and it must be back without anyone's help.
 TEST(membership, a_paused_vm_accuses_nobody_when_it_wakes_and_returns)
 {
-    fleet_loop fleet(8);
+    fleet_simulation fleet(8);
     fleet.run(settle);
     fleet.at("vm-003").paused = true;
     fleet.run(detection_bound);
     EXPECT_TRUE(fleet.all_see("vm-003", member_state::dead));
     fleet.at("vm-003").paused = false;
     for (int index = 0; index < 60; ++index) {
-        fleet.run(fleet_loop::step);
+        fleet.run(fleet_simulation::step);
         for (const auto& seen : fleet.at("vm-003").detector->view().members()) {
             ASSERT_EQ(seen.state, member_state::alive) << seen.info.vm;
         }
@@ -105,7 +105,7 @@
 
 TEST(membership, a_vm_paused_shorter_than_the_suspicion_is_never_buried)
 {
-    fleet_loop fleet(8);
+    fleet_simulation fleet(8);
     fleet.run(settle);
     fleet.at("vm-003").paused = true;
     bool buried = false;
@@ -124,7 +124,7 @@
 // no answer to its own probes and must know that it is cut off, so that it stops offering itself to callers.
 TEST(membership, a_vm_that_hears_but_is_not_heard_is_buried_and_knows_that_it_is_isolated)
 {
-    fleet_loop fleet(8);
+    fleet_simulation fleet(8);
     fleet.run(settle);
     fleet.passes = [](const std::string& from, const std::string&) { return from != "vm-003"; };
     fleet.run(2 * detection_bound);
@@ -135,7 +135,7 @@
 
 TEST(membership, a_vm_that_is_heard_but_does_not_hear_is_buried_and_knows_that_it_is_isolated)
 {
-    fleet_loop fleet(8);
+    fleet_simulation fleet(8);
     fleet.run(settle);
     fleet.passes = [](const std::string&, const std::string& to) { return to != "vm-003"; };
     fleet.run(2 * detection_bound);
@@ -147,7 +147,7 @@
 // others probe for them.
 TEST(membership, one_broken_path_between_two_vms_buries_neither)
 {
-    fleet_loop fleet(8);
+    fleet_simulation fleet(8);
     fleet.run(settle);
     fleet.passes = [](const std::string& from, const std::string& to) {
         return !(from == "vm-003" && to == "vm-004") && !(from == "vm-004" && to == "vm-003");
@@ -167,7 +167,7 @@
 // the second return on it is shown as suspect for longer and longer.
 TEST(membership, a_flapping_vm_is_held_back_and_taken_again_once_it_stays)
 {
-    fleet_loop fleet(8);
+    fleet_simulation fleet(8);
     fleet.run(settle);
     bool cut = false;
     fleet.passes = [&cut](const std::string& from, const std::string& to) {
@@ -189,7 +189,7 @@
 // seed; both halves must find each other, and neither may bury its own side with the other's old claims.
 TEST(membership, regions_that_lost_each_other_for_an_hour_heal_without_seeds_and_without_burying_anyone)
 {
-    fleet_loop fleet(16);
+    fleet_simulation fleet(16);
     fleet.run(settle);
     const auto region = [](const std::string& vm) { return vm < "vm-008"; };
     bool cut = true;
@@ -214,7 +214,7 @@
 
 TEST(membership, a_failure_domain_gone_for_an_hour_knows_it_is_isolated_and_returns)
 {
-    fleet_loop fleet(8);
+    fleet_simulation fleet(8);
     fleet.run(settle);
     bool cut = true;
     fleet.passes = [&](const std::string& from, const std::string& to) {
@@ -234,7 +234,7 @@
 // may keep it alive.
 TEST(membership, a_forgotten_vm_is_not_resurrected_by_one_that_was_away)
 {
-    fleet_loop fleet(8);
+    fleet_simulation fleet(8);
     fleet.run(settle);
     fleet.at("vm-003").paused = true;
     fleet.at("vm-004").running = false;
@@ -269,7 +269,7 @@
 
 TEST(membership, a_vm_that_leaves_is_known_to_have_left_within_a_second)
 {
-    fleet_loop fleet(8);
+    fleet_simulation fleet(8);
     fleet.run(settle);
     auto& leaver = fleet.at("vm-003");
     for (auto& action : leaver.detector->leave(fleet.now())) {
@@ -287,7 +287,7 @@
 {
     constexpr std::size_t size = 100;
     constexpr std::size_t span_seconds = 20;
-    fleet_loop fleet(size, 5);
+    fleet_simulation fleet(size, 5);
     fleet.run(settle);
     for (auto& [vm, one] : fleet.machines()) {
         one.running = domain_of(fleet, vm) != "domain-1";
--- a/tools/slopes/membership_weighing.cpp
+++ b/tools/slopes/membership_weighing.cpp
@@ -1,7 +1,7 @@
 /// Weighs three ways to know who is alive, at 8 and 350 nodes, by driving the pure code in this process.
 /// Prints one JSON object.
 
-#include "fleet_loop.hpp"
+#include "fleet_simulation.hpp"
 #include "membership_ways.hpp"
 
 #include <algorithm>
@@ -23,9 +23,9 @@
 
 milliseconds detect(std::size_t nodes, std::size_t domains, std::uint64_t seed, bool gets_no_work_only)
 {
-    fleet::fleet_loop loop(nodes, domains, seed * 1000);
+    fleet::fleet_simulation loop(nodes, domains, seed * 1000);
     loop.run(settle + milliseconds{static_cast<std::int64_t>(seed) * 70});
-    const auto victim = fleet::fleet_loop::vm_at(seed % nodes);
+    const auto victim = fleet::fleet_simulation::vm_at(seed % nodes);
     loop.at(victim).running = false;
     return loop.run_until(
         [&] {
@@ -51,7 +51,7 @@
 
 probe_figures probing(std::size_t nodes, std::size_t domains, bool with_restarts)
 {
-    fleet::fleet_loop loop(nodes, domains);
+    fleet::fleet_simulation loop(nodes, domains);
     loop.run(settle);
     for (auto& [vm, one] : loop.machines()) {
         one.sent = one.sent_bytes = one.compared_bytes = 0;
@@ -63,10 +63,10 @@
         loop.run(milliseconds{1000});
         due += with_restarts ? restarts_per_node_and_second * static_cast<double>(nodes) : 0;
         for (; due >= 1; due -= 1) {
-            const auto vm = fleet::fleet_loop::vm_at(++turn % nodes);
+            const auto vm = fleet::fleet_simulation::vm_at(++turn % nodes);
             const auto domain = loop.at(vm).detector->view().self().failure_domain;
             loop.start(vm, domain, turn + 1);
-            loop.join(vm, fleet::fleet_loop::vm_at((turn + 1) % nodes));
+            loop.join(vm, fleet::fleet_simulation::vm_at((turn + 1) % nodes));
         }
     }
     const std::chrono::duration<double, std::micro> used = steady::now() - started;
@@ -97,11 +97,11 @@
 /// trials.
 std::pair<milliseconds, milliseconds> config_everywhere(std::size_t nodes, std::size_t domains)
 {
-    fleet::fleet_loop loop(nodes, domains);
+    fleet::fleet_simulation loop(nodes, domains);
     loop.run(settle);
     std::vector<milliseconds> took;
     for (std::uint64_t version = 1; version <= config_trials; ++version) {
-        loop.hold_config(loop.at(fleet::fleet_loop::vm_at(version % nodes)), version);
+        loop.set_config(loop.at(fleet::fleet_simulation::vm_at(version % nodes)), version);
         took.push_back(loop.run_until(
             [&] {
                 return std::all_of(
