--- a/src/claims/key.cpp
+++ b/src/claims/key.cpp
@@ -8,7 +8,7 @@
 
 constexpr char separator = '~';
 constexpr std::size_t prefix_fields = 6;
-constexpr std::size_t longest_key = 400;
+constexpr std::size_t max_key_length = 400;
 
 std::vector<std::string> split(const std::string& text)
 {
@@ -34,7 +34,7 @@
 
 std::string format_pair(const claim_pair& pair)
 {
-    std::string text = pair.home.vm + separator + std::to_string(pair.home.number);
+    std::string text = pair.primary.vm + separator + std::to_string(pair.primary.number);
     text += separator + pair.backup.vm + separator + std::to_string(pair.backup.number);
     return text;
 }
@@ -49,13 +49,13 @@
     const error malformed{error_code::invalid_argument, run_state::not_run,
                           "expected a key that starts with the key_prefix of a Locate answer"};
     const auto fields = split(text);
-    if (text.size() > longest_key || fields.size() < prefix_fields) {
+    if (text.size() > max_key_length || fields.size() < prefix_fields) {
         return malformed;
     }
     call_key key;
-    key.pair.home.vm = fields[0];
+    key.pair.primary.vm = fields[0];
     key.pair.backup.vm = fields[2];
-    const bool numbers = parse_number(fields[1], key.pair.home.number) &&
+    const bool numbers = parse_number(fields[1], key.pair.primary.number) &&
                          parse_number(fields[3], key.pair.backup.number) &&
                          parse_number(fields[4], key.expires_ms);
     if (!numbers) {
--- a/src/entry/claim_calls.cpp
+++ b/src/entry/claim_calls.cpp
@@ -14,11 +14,11 @@
 constexpr milliseconds settled_timeout{2000};
 /// The other side's answer has to travel back before the caller's deadline.
 constexpr milliseconds return_time{30};
-/// Of the time left, while the backup is still to be asked after the home.
-constexpr double home_share = 0.6;
+/// Of the time left, while the backup is still to be asked after the primary.
+constexpr double primary_share = 0.6;
 /// A flood fills at most this much; see docs/design/claims.md.
 constexpr claims::memory_limits shard_limits{
-    .keys = 8192, .keys_per_pair = 6144, .answer_bytes = 512U << 10U, .longest_answer = 16U << 10U};
+    .keys = 8192, .keys_per_pair = 6144, .answer_bytes = 512U << 10U, .max_answer_bytes = 16U << 10U};
 
 error no_key()
 {
@@ -73,48 +73,48 @@
     auto call = std::make_shared<asked_call>(asked_call{
         request, value(std::move(key)), request_fingerprint(request), deadline, trace, std::move(on_done)});
     switch (role_of(call->key.pair)) {
-    case claims::pair_role::home:
-        at_home(call);
+    case claims::pair_role::primary:
+        at_primary(call);
         return;
     case claims::pair_role::backup:
         at_backup(call);
         return;
-    case claims::pair_role::later_home:
+    case claims::pair_role::restarted_primary:
         ask_backup_to_close(call);
         return;
-    case claims::pair_role::later_backup:
-        ask_home(call, time_left(deadline),
-                 [call] { call->on_done(claims::refuse(claims::refusal::both_gone)); });
+    case claims::pair_role::restarted_backup:
+        ask_primary(call, time_left(deadline),
+                    [call] { call->on_done(claims::refusal_error(claims::refusal::pair_unavailable)); });
         return;
     case claims::pair_role::neither:
-        ask_home(call,
-                 milliseconds(static_cast<std::int64_t>(home_share *
-                                                        static_cast<double>(time_left(deadline).count()))),
-                 [this, call] { ask_backup(call); });
+        ask_primary(call,
+                    milliseconds(static_cast<std::int64_t>(primary_share *
+                                                           static_cast<double>(time_left(deadline).count()))),
+                    [this, call] { ask_backup(call); });
         return;
     }
 }
 
-// ---- The home's side ----
+// ---- The primary's side ----
 
-void claim_calls::at_home(const asked& call)
+void claim_calls::at_primary(const asked& call)
 {
-    const auto who = ++next_asker_;
+    const auto who = ++next_waiter_;
     const auto refused = runner_.refusal(call->request);
     {
         const std::lock_guard lock(waiting_mutex_);
         waiting_[who] = {call->request, call->deadline, call->trace, call->on_done};
     }
-    perform(store_.with_home(call->key.pair,
-                             [&](claims::home& home) {
-                                 return home.call(call->key, call->fingerprint, who, wall_milliseconds(),
-                                                  refused);
-                             }),
+    perform(store_.with_primary(call->key.pair,
+                                [&](claims::primary& primary) {
+                                    return primary.call(call->key, call->fingerprint, who,
+                                                        wall_milliseconds(), refused);
+                                }),
             call->trace);
     arm_deadline(who, call->key, call->deadline);
 }
 
-void claim_calls::arm_deadline(claims::asker who, const claims::call_key& key, time_point deadline)
+void claim_calls::arm_deadline(claims::waiter_id who, const claims::call_key& key, time_point deadline)
 {
     const std::lock_guard lock(waiting_mutex_);
     const auto found = waiting_.find(who);
@@ -125,12 +125,13 @@
     found->second.timer = context_.loop.after(left, [this, who, key] { leave(key, who); });
 }
 
-void claim_calls::leave(const claims::call_key& key, claims::asker who)
+void claim_calls::leave(const claims::call_key& key, claims::waiter_id who)
 {
-    perform(store_.with_home(key.pair, [&](claims::home& home) { return home.leave(key, who); }));
+    perform(store_.with_primary(key.pair,
+                                [&](claims::primary& primary) { return primary.remove_waiter(key, who); }));
 }
 
-void claim_calls::perform(const claims::home_actions& actions, const observe::trace_context& trace)
+void claim_calls::perform(const claims::primary_actions& actions, const observe::trace_context& trace)
 {
     for (const auto& action : actions) {
         if (const auto* record = std::get_if<claims::send_record>(&action)) {
@@ -142,7 +143,7 @@
         else if (const auto* settled = std::get_if<claims::send_settled>(&action)) {
             send_settled(settled->record);
         }
-        else if (const auto* answer = std::get_if<claims::reply_to>(&action)) {
+        else if (const auto* answer = std::get_if<claims::send_reply>(&action)) {
             reply(*answer);
         }
         else {
@@ -172,27 +173,27 @@
     }
     const bool answered = ok(reply) && value(reply).key() == key_text(action.key);
     if (answered && value(reply).recorded()) {
-        perform(store_.with_home(action.key.pair, [&](claims::home& home) {
-            return home.acknowledged(action.key, wall_milliseconds());
+        perform(store_.with_primary(action.key.pair, [&](claims::primary& primary) {
+            return primary.acknowledged(action.key, wall_milliseconds());
         }));
         return;
     }
     const auto why = answered ? refusal_of(value(reply)) : claims::refusal::backup_unreachable;
     context_.metrics.add("vg_entry_claims_refused_total");
-    perform(
-        store_.with_home(action.key.pair, [&](claims::home& home) { return home.refused(action.key, why); }));
+    perform(store_.with_primary(action.key.pair,
+                                [&](claims::primary& primary) { return primary.refused(action.key, why); }));
 }
 
 void claim_calls::dispatch(const claims::dispatch_call& action)
 {
     const auto finish = [this, key = action.key](const result<v1::CallReply>& answer) {
-        perform(store_.with_home(key.pair,
-                                 [&](claims::home& home) { return home.finished(key, to_outcome(answer)); }));
+        perform(store_.with_primary(
+            key.pair, [&](claims::primary& primary) { return primary.finished(key, to_outcome(answer)); }));
     };
     waiting_call first;
     {
         const std::lock_guard lock(waiting_mutex_);
-        const auto found = waiting_.find(action.first);
+        const auto found = waiting_.find(action.waiter);
         if (found != waiting_.end()) {
             first.request = found->second.request;
             first.deadline = found->second.deadline;
@@ -200,7 +201,7 @@
         }
     }
     if (first.request.key().empty()) {
-        finish(claims::refuse(claims::refusal::caller_gone));
+        finish(claims::refusal_error(claims::refusal::no_waiters));
         return;
     }
     runner_.run(first.request, first.deadline, first.trace, finish);
@@ -214,12 +215,12 @@
     link_.record(record.key.pair.backup.vm, request, {settled_timeout}, [](const result<v1::ClaimReply>&) {});
 }
 
-void claim_calls::reply(const claims::reply_to& action)
+void claim_calls::reply(const claims::send_reply& action)
 {
     waiting_call waiter;
     {
         const std::lock_guard lock(waiting_mutex_);
-        auto found = waiting_.extract(action.who);
+        auto found = waiting_.extract(action.waiter);
         if (found.empty()) {
             return;
         }
@@ -264,7 +265,7 @@
         take_over(call);
         return;
     }
-    ask_home(call, time_left(call->deadline), [this, call] { take_over(call); });
+    ask_primary(call, time_left(call->deadline), [this, call] { take_over(call); });
 }
 
 void claim_calls::take_over(const asked& call)
@@ -296,8 +297,8 @@
             return;
         }
         const auto verdict = backup.record(claimed.key, claimed.fingerprint, wall_milliseconds());
-        reply.set_recorded(verdict == claims::record_verdict::recorded);
-        reply.set_closed(verdict == claims::record_verdict::closed);
+        reply.set_recorded(verdict == claims::record_status::recorded);
+        reply.set_closed(verdict == claims::record_status::closed);
         reply.set_reason(std::string(name(verdict)));
     });
     return reply;
@@ -335,7 +336,7 @@
         }
     }
     store_.with_backup(value(pair), [&](claims::backup& backup) {
-        backup.accept(value(pair), records, wall_milliseconds());
+        backup.accept_transfer(value(pair), records, wall_milliseconds());
     });
     reply.set_accepted(true);
     return reply;
@@ -343,23 +344,23 @@
 
 // ---- Asking the others ----
 
-void claim_calls::ask_home(const asked& call, milliseconds timeout, std::function<void()> otherwise)
+void claim_calls::ask_primary(const asked& call, milliseconds timeout, std::function<void()> otherwise)
 {
     if (timeout.count() <= 0) {
-        call->on_done(claims::refuse(claims::refusal::out_of_time));
+        call->on_done(claims::refusal_error(claims::refusal::deadline_exceeded));
         return;
     }
-    link_.forward(call->key.pair.home.vm, with_deadline(call->request, timeout), {timeout, call->trace},
+    link_.forward(call->key.pair.primary.vm, with_deadline(call->request, timeout), {timeout, call->trace},
                   [call, otherwise = std::move(otherwise)](const result<v1::ClaimVerdict>& reply) {
                       if (ok(reply) && value(reply).decided()) {
                           call->on_done(from_verdict(value(reply), call->request));
                           return;
                       }
-                      // The call may be running at a home that is slow: closing its pair would end every
+                      // The call may be running at a primary that is slow: closing its pair would end every
                       // other call under it, so the deadline alone is no reason for a takeover.
                       if (!ok(reply) && failure(reply).code == error_code::deadline_exceeded &&
                           time_left(call->deadline) <= return_time) {
-                          call->on_done(claims::refuse(claims::refusal::out_of_time));
+                          call->on_done(claims::refusal_error(claims::refusal::deadline_exceeded));
                           return;
                       }
                       otherwise();
@@ -372,12 +373,12 @@
     link_.forward(call->key.pair.backup.vm, with_deadline(call->request, timeout), {timeout, call->trace},
                   [call](const result<v1::ClaimVerdict>& reply) {
                       call->on_done(ok(reply) ? from_verdict(value(reply), call->request)
-                                              : claims::refuse(claims::refusal::both_gone));
+                                              : claims::refusal_error(claims::refusal::pair_unavailable));
                   });
 }
 
-/// This VM's home of the key was an earlier run, which may have dispatched it: only the backup can tell, and
-/// only once it has closed the pair.
+/// This VM's primary of the key was an earlier run, which may have dispatched it: only the backup can tell,
+/// and only once it has closed the pair.
 void claim_calls::ask_backup_to_close(const asked& call)
 {
     v1::ClaimPairRequest request;
@@ -389,7 +390,7 @@
                 {std::min(close_timeout, time_left(call->deadline)), call->trace},
                 [call](const result<v1::ClaimPairReply>& reply) {
                     call->on_done(ok(reply) ? from_verdict(value(reply).verdict(), call->request)
-                                            : claims::refuse(claims::refusal::both_gone));
+                                            : claims::refusal_error(claims::refusal::pair_unavailable));
                 });
 }
 
--- a/tests/claims/interleaving_tests.cpp
+++ b/tests/claims/interleaving_tests.cpp
@@ -17,7 +17,7 @@
 constexpr std::int64_t expiry_ms = 2000;
 
 enum class event {
-    call_home,
+    call_primary,
     call_backup,
     deliver_record,
     deliver_acknowledgement,
@@ -28,14 +28,14 @@
     deliver_settled,
     freeze,
     hand_over,
-    restart_home,
+    restart_primary,
     restart_backup,
-    home_clock,
+    primary_clock,
     backup_clock,
 };
 
 struct step {
-    event what = event::call_home;
+    event what = event::call_primary;
     std::size_t pick = 0; ///< which message, key or request
 };
 
@@ -45,14 +45,14 @@
     out << "{" << static_cast<int>(item.what) << "," << item.pick << "}";
 }
 
-class world {
+class simulation {
 public:
-    void play(const step& item)
+    void apply(const step& item)
     {
         pick_ = item.pick;
         switch (item.what) {
-        case event::call_home:
-            call_home();
+        case event::call_primary:
+            call_primary();
             break;
         case event::call_backup:
             call_backup();
@@ -61,39 +61,41 @@
             deliver_record();
             break;
         case event::deliver_acknowledgement:
-            with(acknowledgements_, [this](const call_key& key) { take(home_.acknowledged(key, home_ms_)); });
+            with(acknowledgements_,
+                 [this](const call_key& key) { collect(primary_.acknowledged(key, primary_ms_)); });
             break;
         case event::deliver_refusal:
-            with(refusals_, [this](const call_key& key) { take(home_.refused(key, refusal::pair_closed)); });
+            with(refusals_,
+                 [this](const call_key& key) { collect(primary_.refused(key, refusal::pair_closed)); });
             break;
         case event::time_out:
-            take(home_.refused(key(), refusal::backup_unreachable));
+            collect(primary_.refused(key(), refusal::backup_unreachable));
             break;
         case event::dispatch:
             dispatch();
             break;
         case event::finish:
-            with(running_, [this](const call_key& key) { take(home_.finished(key, answer_of(key))); });
+            with(running_, [this](const call_key& key) { collect(primary_.finished(key, answer_of(key))); });
             break;
         case event::deliver_settled:
             with(settled_, [this](const settled_record& record) { backup_.settle(record, backup_ms_); });
             break;
         case event::freeze:
-            home_.freeze();
+            primary_.freeze();
             break;
         case event::hand_over:
             hand_over();
             break;
-        case event::restart_home:
-            restart_home();
+        case event::restart_primary:
+            restart_primary();
             break;
         case event::restart_backup:
             backup_ = backup();
             backup_original_ = false;
             break;
-        case event::home_clock:
-            home_ms_ = start_ms + static_cast<std::int64_t>(pick_ % 7) * 200; // may step back
-            home_.expire(home_ms_);
+        case event::primary_clock:
+            primary_ms_ = start_ms + static_cast<std::int64_t>(pick_ % 7) * 200; // may step back
+            primary_.expire(primary_ms_);
             break;
         case event::backup_clock:
             backup_ms_ = start_ms + static_cast<std::int64_t>(pick_ % 7) * 200;
@@ -105,25 +107,25 @@
     int dispatches() const { return dispatches_; }
 
 private:
-    home home_;
+    primary primary_;
     backup backup_;
-    bool home_original_ = true;
+    bool primary_original_ = true;
     bool backup_original_ = true;
-    std::int64_t home_ms_ = start_ms;
+    std::int64_t primary_ms_ = start_ms;
     std::int64_t backup_ms_ = start_ms;
     std::size_t pick_ = 0;
-    asker next_ = 0;
-    std::map<asker, std::pair<call_key, std::uint64_t>> askers_;
+    waiter_id next_ = 0;
+    std::map<waiter_id, std::pair<call_key, std::uint64_t>> waiters_;
     // Sent messages are never taken out: each may arrive again at any time.
     std::vector<send_record> records_;
     std::vector<call_key> acknowledgements_;
     std::vector<call_key> refusals_;
     std::vector<settled_record> settled_;
-    std::vector<call_key> granted_; ///< a paused home has these still before it
+    std::vector<call_key> pending_dispatches_; ///< a paused home has these still before it
     std::vector<call_key> running_;
     // The truth.
     std::map<std::string, std::uint64_t> run_by_;
-    std::set<std::pair<std::string, std::uint64_t>> told_not_run_;
+    std::set<std::pair<std::string, std::uint64_t>> answered_not_run_;
     int dispatches_ = 0;
 
     template <class Item, class Use>
@@ -139,15 +141,15 @@
     std::uint64_t request() const { return (pick_ / key_count) % request_count; }
     outcome answer_of(const call_key& ran) const { return std::to_string(run_by_.at(ran.suffix)); }
 
-    void call_home()
+    void call_primary()
     {
-        if (!home_original_) {
+        if (!primary_original_) {
             // A later run of the home knows nothing and has the backup decide.
             call_backup();
             return;
         }
-        askers_[++next_] = {key(), request()};
-        take(home_.call(key(), request(), next_, home_ms_));
+        waiters_[++next_] = {key(), request()};
+        collect(primary_.call(key(), request(), next_, primary_ms_));
     }
 
     void call_backup()
@@ -165,14 +167,15 @@
                 return;
             }
             const auto decided = backup_.record(message.key, message.fingerprint, backup_ms_);
-            (decided == record_verdict::recorded ? acknowledgements_ : refusals_).push_back(message.key);
+            (decided == record_status::recorded ? acknowledgements_ : refusals_).push_back(message.key);
         });
     }
 
     void dispatch()
     {
-        with(granted_, [this](const call_key& key) {
-            std::erase_if(granted_, [&key](const call_key& item) { return item.suffix == key.suffix; });
+        with(pending_dispatches_, [this](const call_key& key) {
+            std::erase_if(pending_dispatches_,
+                          [&key](const call_key& item) { return item.suffix == key.suffix; });
             run(key);
         });
     }
@@ -185,7 +188,7 @@
         });
         RC_ASSERT(sent != records.end());
         RC_ASSERT(!run_by_.contains(key.suffix));
-        RC_ASSERT(!told_not_run_.contains({key.suffix, sent->fingerprint}));
+        RC_ASSERT(!answered_not_run_.contains({key.suffix, sent->fingerprint}));
         run_by_[key.suffix] = sent->fingerprint;
         running_.push_back(key);
         ++dispatches_;
@@ -193,55 +196,55 @@
 
     void hand_over()
     {
-        if (!home_original_ || !backup_original_ || home_.unsettled() > 0) {
+        if (!primary_original_ || !backup_original_ || primary_.unsettled() > 0) {
             return;
         }
-        home_.freeze();
-        for (const auto& [handed, records] : home_.memory()) {
-            backup_.accept(handed, records, backup_ms_);
+        primary_.freeze();
+        for (const auto& [transferred, records] : primary_.settled_records()) {
+            backup_.accept_transfer(transferred, records, backup_ms_);
         }
     }
 
-    void restart_home()
+    void restart_primary()
     {
-        home_ = home();
-        home_original_ = false;
-        granted_.clear();
+        primary_ = primary();
+        primary_original_ = false;
+        pending_dispatches_.clear();
         running_.clear();
     }
 
-    void take(const home_actions& actions)
+    void collect(const primary_actions& actions)
     {
         for (const auto& action : actions) {
             if (const auto* record = std::get_if<send_record>(&action)) {
                 records_.push_back(*record);
             }
-            else if (const auto* granted = std::get_if<dispatch_call>(&action)) {
-                granted_.push_back(granted->key);
+            else if (const auto* dispatched = std::get_if<dispatch_call>(&action)) {
+                pending_dispatches_.push_back(dispatched->key);
             }
-            else if (const auto* told = std::get_if<send_settled>(&action)) {
-                settled_.push_back(told->record);
+            else if (const auto* settled = std::get_if<send_settled>(&action)) {
+                settled_.push_back(settled->record);
             }
-            else if (const auto* reply = std::get_if<reply_to>(&action)) {
-                const auto& [asked, request] = askers_.at(reply->who);
-                check(asked, request, reply->answer);
+            else if (const auto* reply = std::get_if<send_reply>(&action)) {
+                const auto& [key, request] = waiters_.at(reply->waiter);
+                check(key, request, reply->answer);
             }
         }
     }
 
-    void check(const call_key& asked, std::uint64_t request, const verdict& told)
+    void check(const call_key& key, std::uint64_t request, const call_reply& reply)
     {
-        const auto ran = run_by_.find(asked.suffix);
+        const auto ran = run_by_.find(key.suffix);
         const bool request_ran = ran != run_by_.end() && ran->second == request;
-        if (ok(told.answer)) {
+        if (ok(reply.answer)) {
             RC_ASSERT(request_ran);
-            RC_ASSERT(value(told.answer) == std::to_string(request));
+            RC_ASSERT(value(reply.answer) == std::to_string(request));
         }
-        else if (failure(told.answer).ran == run_state::not_run) {
+        else if (failure(reply.answer).ran == run_state::not_run) {
             RC_ASSERT(!request_ran);
-            told_not_run_.insert({asked.suffix, request});
+            answered_not_run_.insert({key.suffix, request});
         }
-        else if (failure(told.answer).ran == run_state::ran) {
+        else if (failure(reply.answer).ran == run_state::ran) {
             RC_ASSERT(request_ran);
         }
     }
@@ -250,7 +253,7 @@
 rc::Gen<step> any_step()
 {
     // Restarts, stops and clock steps end most of a history, so they are drawn seldom.
-    const auto what = rc::gen::weightedElement<event>({{12, event::call_home},
+    const auto what = rc::gen::weightedElement<event>({{12, event::call_primary},
                                                        {1, event::call_backup},
                                                        {12, event::deliver_record},
                                                        {12, event::deliver_acknowledgement},
@@ -261,9 +264,9 @@
                                                        {6, event::deliver_settled},
                                                        {1, event::freeze},
                                                        {1, event::hand_over},
-                                                       {1, event::restart_home},
+                                                       {1, event::restart_primary},
                                                        {1, event::restart_backup},
-                                                       {1, event::home_clock},
+                                                       {1, event::primary_clock},
                                                        {1, event::backup_clock}});
     return rc::gen::apply(
         [](event chosen, std::size_t pick) {
@@ -275,11 +278,11 @@
 RC_GTEST_PROP(claim_interleavings, no_history_runs_a_key_twice_or_makes_an_answer_untrue, ())
 {
     const auto steps = *rc::gen::container<std::vector<step>>(any_step());
-    world played;
+    simulation simulated;
     for (const auto& item : steps) {
-        played.play(item);
+        simulated.apply(item);
     }
-    RC_CLASSIFY(played.dispatches() > 0, "with a dispatch");
+    RC_CLASSIFY(simulated.dispatches() > 0, "with a dispatch");
 }
 
 } // namespace
