--- a/src/gateway/batch_runner.cpp
+++ b/src/gateway/batch_runner.cpp
@@ -75,7 +75,7 @@
         return;
     }
     if (found != active_.end() && found->second && !found->second->accepted) {
-        accept_ahead(found->second, header);
+        confirm_speculative(found->second, header);
     }
     if (!active_.contains(header.id) && !finished_.contains(header.id) && is_mine(header)) {
         start(header);
@@ -85,7 +85,7 @@
 // Failure: the store is away for everybody when a step is submitted. Waited for, the step begins seconds late
 // and its trainer never makes them up. What it costs to be wrong is the engines' work: nothing is listed, and
 // nobody is told that the batch stands, before the store has it.
-void batch_runner::run_ahead(const batch_header& header, std::vector<batch_item> items)
+void batch_runner::run_speculative(const batch_header& header, std::vector<batch_item> items)
 {
     if (!taking_ || active_.contains(header.id) || finished_.contains(header.id)) {
         return;
@@ -99,7 +99,7 @@
     net::start(loop_, work_through(batch));
 }
 
-void batch_runner::accept_ahead(const run_ref& batch, const batch_header& header)
+void batch_runner::confirm_speculative(const run_ref& batch, const batch_header& header)
 {
     if (header.owner_vm == fleet_.self() && header.owner_incarnation == fleet_.incarnation()) {
         batch->accepted = true;
@@ -109,7 +109,7 @@
     end(batch, "another gateway runs it");
 }
 
-void batch_runner::drop_ahead(const std::string& batch)
+void batch_runner::drop_speculative(const std::string& batch)
 {
     const auto found = active_.find(batch);
     if (found != active_.end() && found->second && !found->second->accepted) {
--- a/src/gateway/batch_runner.hpp
+++ b/src/gateway/batch_runner.hpp
@@ -33,9 +33,9 @@
     void take_header(const batch_header& header);
     /// Runs a batch that the store may not have yet; results are listed once `take_header` brings it as this
     /// gateway's.
-    void run_ahead(const batch_header& header, std::vector<batch_item> items);
-    /// Ends what `run_ahead` began and the store never took.
-    void drop_ahead(const std::string& batch);
+    void run_speculative(const batch_header& header, std::vector<batch_item> items);
+    /// Ends what `run_speculative` began and the store never took.
+    void drop_speculative(const std::string& batch);
     /// The members of the fleet changed: batches of those that are gone may be this gateway's.
     void review();
     /// This gateway has met all that are registered, so its view of the fleet may decide.
@@ -73,7 +73,7 @@
 
     bool is_mine(const batch_header& header) const;
     void start(const batch_header& header);
-    void accept_ahead(const run_ref& batch, const batch_header& header);
+    void confirm_speculative(const run_ref& batch, const batch_header& header);
     net::task<void> drive(batch_header header);
     net::task_of<std::vector<batch_item>> load_items(const batch_header& header);
     net::task<bool> load_log(run& batch);
--- a/src/gateway/batch_service.cpp
+++ b/src/gateway/batch_service.cpp
@@ -73,7 +73,7 @@
     header.owner_vm = fleet_.self();
     header.owner_incarnation = fleet_.incarnation();
     const auto id = header.id;
-    net::start(loop_, run_ahead_when_slow(current));
+    net::start(loop_, speculate_when_slow(current));
     net::start(loop_, settle(current));
     // A call that hangs at a store that is back by now must not keep the trainer from hearing that the batch
     // stands, once the feed shows it.
@@ -89,7 +89,7 @@
     }
     auto reason = failure(stored);
     if (reason.ran == run_state::not_run) {
-        const bool may_run = current->ahead || co_await runs_ahead(id);
+        const bool may_run = current->speculative || co_await runs_speculatively(id);
         reason.ran = may_run ? run_state::in_doubt : run_state::not_run;
     }
     co_return reason;
--- a/src/gateway/batch_service.hpp
+++ b/src/gateway/batch_service.hpp
@@ -25,7 +25,7 @@
 };
 
 /// Where peers bring batches that the store does not take.
-constexpr const char* ahead_path = "/ahead";
+constexpr const char* speculative_path = "/ahead";
 
 class batch_service {
 public:
@@ -38,7 +38,7 @@
     net::task_of<done> submit(batch_submission submission);
     /// A peer brings a batch that the store does not take at the moment, for this gateway to run, or asks
     /// whether it runs one.
-    net::http_response serve_ahead(const net::http_request& request);
+    net::http_response serve_speculative(const net::http_request& request);
     /// Waits at most `wait` for a result. `not_found` only where the store says so now; `unavailable` where a
     /// result that another gateway listed may be missing here.
     net::task_of<result_page> read(std::string batch, std::size_t first, milliseconds wait);
@@ -59,17 +59,17 @@
     const fleet_view& fleet_;
     std::list<cached_items> cache_; ///< the newest first
 
-    struct attempt;                                 ///< to store one submission
-    std::map<std::string, time_point> ahead_until_; ///< batches that run here before the store has them
+    struct attempt;                                       ///< to store one submission
+    std::map<std::string, time_point> speculative_until_; ///< batches that run here before the store has them
 
     net::task<void> settle(std::shared_ptr<attempt> current);
     net::task_of<done> store_batch(std::shared_ptr<attempt> current, time_point until);
-    net::task<void> run_ahead_when_slow(std::shared_ptr<attempt> current);
+    net::task<void> speculate_when_slow(std::shared_ptr<attempt> current);
     std::optional<gateway_peer> other_owner(const std::string& batch) const;
-    net::task<bool> runs_ahead(std::string batch);
-    net::task<void> send_ahead(std::shared_ptr<attempt> current);
-    void run_ahead(batch_submission submission);
-    net::task<void> settle_ahead(batch_submission submission);
+    net::task<bool> runs_speculatively(std::string batch);
+    net::task<void> send_speculative(std::shared_ptr<attempt> current);
+    void run_speculative(batch_submission submission);
+    net::task<void> resolve_speculative(batch_submission submission);
     net::task_of<stored_object> create_surely(std::string kind, std::string name, nlohmann::json value,
                                               time_point until);
     net::task_of<batch_header> find(std::string batch);
--- a/src/gateway/batch_service_ahead.cpp
+++ b/src/gateway/batch_service_speculative.cpp
@@ -13,11 +13,11 @@
 namespace {
 
 /// Until a batch that the store has not taken is run all the same.
-constexpr milliseconds ahead_after{500};
+constexpr milliseconds speculation_delay{500};
 /// Such a batch is dropped so long after its trainer brought it last.
-constexpr milliseconds ahead_patience{4000};
-constexpr milliseconds ahead_call_time{1500};
-constexpr milliseconds runs_call_time{500};
+constexpr milliseconds speculation_timeout{4000};
+constexpr milliseconds speculation_call_timeout{1500};
+constexpr milliseconds query_timeout{500};
 
 /// A slow store still answers within it.
 constexpr milliseconds check_time{450};
@@ -46,15 +46,15 @@
 } // namespace
 
 // A store that answers takes a batch within a fraction of this time.
-net::task<void> batch_service::run_ahead_when_slow(std::shared_ptr<attempt> current)
+net::task<void> batch_service::speculate_when_slow(std::shared_ptr<attempt> current)
 {
-    co_await net::sleep_for(loop_, ahead_after);
+    co_await net::sleep_for(loop_, speculation_delay);
     auto& header = current->submission.header;
     if (current->outcome || current->naming || headers_.objects().contains(header.id)) {
         co_return;
     }
-    current->ahead = true;
-    co_await send_ahead(current);
+    current->speculative = true;
+    co_await send_speculative(current);
 }
 
 // None where it is this gateway.
@@ -71,9 +71,9 @@
 
 // A refusal promises that nothing of the batch runs, and an earlier attempt of its trainer may have come to
 // another gateway. One that does not answer may be running it.
-net::task<bool> batch_service::runs_ahead(std::string batch)
+net::task<bool> batch_service::runs_speculatively(std::string batch)
 {
-    if (ahead_until_.contains(batch)) {
+    if (speculative_until_.contains(batch)) {
         co_return true;
     }
     const auto owner = other_owner(batch);
@@ -81,26 +81,26 @@
         co_return false;
     }
     json question{{"id", batch}};
-    const auto told = co_await store_.ask(owner->relay_address, ahead_path, std::move(question),
-                                          steady::now() + runs_call_time);
+    const auto told = co_await store_.ask(owner->relay_address, speculative_path, std::move(question),
+                                          steady::now() + query_timeout);
     co_return !ok(told) || member_or_null(value(told), "runs") != json(false);
 }
 
 // The trainer brings the batch to one gateway after the other meanwhile. They all choose the same one to run
 // it, so the engines do the work once.
-net::task<void> batch_service::send_ahead(std::shared_ptr<attempt> current)
+net::task<void> batch_service::send_speculative(std::shared_ptr<attempt> current)
 {
     auto& header = current->submission.header;
     const auto owner = other_owner(header.id);
     if (!owner) {
-        run_ahead(current->submission);
+        run_speculative(current->submission);
         co_return;
     }
     json question{{"id", header.id},
                   {"header", to_json(header)},
                   {"parts", to_parts(current->submission.items, most_part_bytes)}};
-    const auto told = co_await store_.ask(owner->relay_address, ahead_path, std::move(question),
-                                          steady::now() + ahead_call_time);
+    const auto told = co_await store_.ask(owner->relay_address, speculative_path, std::move(question),
+                                          steady::now() + speculation_call_timeout);
     if (ok(told) && !current->naming) {
         header.owner_vm = owner->vm;
         header.owner_incarnation = owner->incarnation;
@@ -111,13 +111,13 @@
                   {"outcome", ok(told) ? std::string("taken") : describe(failure(told))}});
 }
 
-net::http_response batch_service::serve_ahead(const net::http_request& request)
+net::http_response batch_service::serve_speculative(const net::http_request& request)
 {
     net::http_response response;
     const auto question = json::parse(request.body, nullptr, false);
     const auto batch = text_or_empty(question, "id");
     if (member_or_null(question, "header").is_null() && !batch.empty()) {
-        response.body = json{{"runs", ahead_until_.contains(batch)}}.dump();
+        response.body = json{{"runs", speculative_until_.contains(batch)}}.dump();
         return response;
     }
     response.body = "{}";
@@ -132,35 +132,35 @@
         response.status = 503;
         return response;
     }
-    run_ahead(std::move(value(read)));
+    run_speculative(std::move(value(read)));
     return response;
 }
 
-void batch_service::run_ahead(batch_submission submission)
+void batch_service::run_speculative(batch_submission submission)
 {
     auto& header = submission.header;
     if (headers_.objects().contains(header.id)) {
         return;
     }
-    const bool runs = ahead_until_.contains(header.id);
-    ahead_until_[header.id] = steady::now() + ahead_patience;
+    const bool runs = speculative_until_.contains(header.id);
+    speculative_until_[header.id] = steady::now() + speculation_timeout;
     if (runs) {
         return;
     }
     header.owner_vm = fleet_.self();
     header.owner_incarnation = fleet_.incarnation();
-    runner_.run_ahead(header, submission.items);
-    net::start(loop_, settle_ahead(std::move(submission)));
+    runner_.run_speculative(header, submission.items);
+    net::start(loop_, resolve_speculative(std::move(submission)));
 }
 
-net::task<void> batch_service::settle_ahead(batch_submission submission)
+net::task<void> batch_service::resolve_speculative(batch_submission submission)
 {
     const auto id = submission.header.id;
     const auto current = std::make_shared<attempt>(loop_);
     // Later its trainer has most probably given the batch up, and would not end it again.
     const auto last = steady::now() + submission.header.result_time;
     current->submission = std::move(submission);
-    while (!headers_.objects().contains(id) && steady::now() < std::min(last, ahead_until_[id])) {
+    while (!headers_.objects().contains(id) && steady::now() < std::min(last, speculative_until_[id])) {
         // A short question finds the store's return sooner than a write that hangs.
         const auto back = co_await store_.check(batch_kind, check_time);
         if (!ok(back)) {
@@ -174,11 +174,11 @@
         co_await net::sleep_for(loop_, settle_pause);
     }
     // Where the header stands, the feed brings it with its owner.
-    while (!headers_.objects().contains(id) && steady::now() < ahead_until_[id]) {
+    while (!headers_.objects().contains(id) && steady::now() < speculative_until_[id]) {
         co_await net::sleep_for(loop_, settle_pause);
     }
-    ahead_until_.erase(id);
-    runner_.drop_ahead(id);
+    speculative_until_.erase(id);
+    runner_.drop_speculative(id);
 }
 
 } // namespace vanillagauge::gateway
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -319,8 +319,8 @@
     if (request.target == "/relay") {
         response = co_await relay.serve(request);
     }
-    else if (request.target == ahead_path) {
-        response = batches.serve_ahead(request);
+    else if (request.target == speculative_path) {
+        response = batches.serve_speculative(request);
     }
     else if (request.target == "/sync") {
         response = co_await feeds.serve(request);
--- a/src/gateway/internal/batch_attempt.hpp
+++ b/src/gateway/internal/batch_attempt.hpp
@@ -16,7 +16,7 @@
     bool naming = false; ///< the header is on its way to the store, with its owner
     std::optional<result<done>> outcome{};
     net::signal changed;
-    bool ahead = false; ///< a gateway was told to run the batch before the store has it
+    bool speculative = false; ///< a gateway was told to run the batch before the store has it
 };
 
 /// Below the store's limit of a megabyte a value, with room for what JSON adds.
