--- a/src/gateway/batch.cpp
+++ b/src/gateway/batch.cpp
@@ -73,7 +73,7 @@
 
 } // namespace
 
-std::string log_kind(const std::string& batch)
+std::string results_kind(const std::string& batch)
 {
     return "results-" + batch;
 }
@@ -137,7 +137,7 @@
         });
 }
 
-json to_json(const log_segment& segment)
+json to_json(const result_segment& segment)
 {
     json results = json::array();
     for (const auto& entry : segment.results) {
@@ -153,11 +153,11 @@
     return {{"writer", segment.writer}, {"results", std::move(results)}};
 }
 
-result<log_segment> segment_from_json(const std::string& name, const json& value)
+result<result_segment> segment_from_json(const std::string& name, const json& value)
 {
-    return decoded<log_segment>(
-        value, unreadable("the segment " + name), [&](const json& from) -> result<log_segment> {
-            log_segment segment;
+    return decoded<result_segment>(
+        value, unreadable("the segment " + name), [&](const json& from) -> result<result_segment> {
+            result_segment segment;
             const auto parsed = std::from_chars(name.data(), name.data() + name.size(), segment.first);
             if (parsed.ec != std::errc{}) {
                 return error{error_code::invalid_argument, run_state::not_run,
--- a/src/gateway/batch.hpp
+++ b/src/gateway/batch.hpp
@@ -78,7 +78,7 @@
 };
 
 /// Results at consecutive positions, written once and never changed.
-struct log_segment {
+struct result_segment {
     std::size_t first = 0; ///< position of its first result
     std::string writer;
     std::vector<item_result> results;
@@ -87,20 +87,20 @@
 /// Kinds and names of the objects.
 constexpr const char* batch_kind = "batches";
 constexpr const char* item_kind = "batch-items";
-std::string log_kind(const std::string& batch);
+std::string results_kind(const std::string& batch);
 std::string part_name(const std::string& batch, std::size_t part);
 /// Ordered as the positions are.
 std::string segment_name(std::size_t first);
 
 nlohmann::json to_json(const batch_header& header);
-nlohmann::json to_json(const log_segment& segment);
+nlohmann::json to_json(const result_segment& segment);
 /// Parts of at most `most_bytes` each, but for an item that is larger alone.
 std::vector<nlohmann::json> to_parts(const std::vector<batch_item>& items, std::size_t most_bytes);
 
 /// An entry that is not what this project writes is an `invalid_argument`.
 result<batch_header> header_from_json(const std::string& id, const nlohmann::json& value,
                                       const nlohmann::json& status);
-result<log_segment> segment_from_json(const std::string& name, const nlohmann::json& value);
+result<result_segment> segment_from_json(const std::string& name, const nlohmann::json& value);
 result<std::vector<batch_item>> items_from_json(const nlohmann::json& part);
 
 result<std::string> decode_base64(std::string_view text);
--- a/src/gateway/batch_progress.cpp
+++ b/src/gateway/batch_progress.cpp
@@ -31,14 +31,14 @@
 
 // Positions are facts once their segment stands in the store. A result of this owner for an item that another
 // owner listed first is dropped: the trainer has read the other one, or will.
-void batch_progress::take_segment(const log_segment& segment)
+void batch_progress::take_segment(const result_segment& segment)
 {
-    if (segment.first != listed_) {
+    if (segment.first != published_) {
         return;
     }
-    listed_ += segment.results.size();
-    for (const auto& listed : segment.results) {
-        const auto found = places_.find(listed.id);
+    published_ += segment.results.size();
+    for (const auto& published : segment.results) {
+        const auto found = places_.find(published.id);
         if (found == places_.end()) {
             continue;
         }
@@ -46,10 +46,10 @@
         if (entry.state == work_state::finished) {
             --finished_;
         }
-        else if (entry.state != work_state::listed) {
+        else if (entry.state != work_state::published) {
             close_in_group(entry);
         }
-        entry.state = work_state::listed;
+        entry.state = work_state::published;
         entry.text.clear();
         entry.text.shrink_to_fit();
         entry.result = {};
@@ -134,7 +134,7 @@
 std::optional<item_text> batch_progress::text_of(std::size_t place) const
 {
     const auto& entry = items_[place];
-    const bool made = entry.events > 0 && entry.state != work_state::listed;
+    const bool made = entry.events > 0 && entry.state != work_state::published;
     if (!made || (entry.state == work_state::finished && entry.result.state == item_state::terminated)) {
         return std::nullopt;
     }
@@ -156,7 +156,7 @@
 void batch_progress::finish(std::size_t place, item_result result)
 {
     auto& entry = items_[place];
-    if (entry.state == work_state::listed || entry.state == work_state::finished) {
+    if (entry.state == work_state::published || entry.state == work_state::finished) {
         return;
     }
     close_in_group(entry);
@@ -215,15 +215,15 @@
     return ++items_[place].failures >= header_.attempts;
 }
 
-std::optional<log_segment> batch_progress::next_segment(const std::string& writer)
+std::optional<result_segment> batch_progress::next_segment(const std::string& writer)
 {
     if (writing_ || finished_ == 0) {
         return std::nullopt;
     }
     // A segment must fit into one object of the store, and a reader's answer.
     constexpr std::size_t most_bytes = 600U << 10U;
-    log_segment segment;
-    segment.first = listed_;
+    result_segment segment;
+    segment.first = published_;
     segment.writer = writer;
     std::size_t bytes = 0;
     for (const auto& entry : items_) {
@@ -245,7 +245,7 @@
     return open_in_group_.at(items_[place].item.group);
 }
 
-bool batch_progress::group_waits() const
+bool batch_progress::has_complete_group() const
 {
     return std::any_of(items_.begin(), items_.end(), [this](const item_progress& entry) {
         return entry.state == work_state::finished && open_in_group_.at(entry.item.group) == 0;
--- a/src/gateway/batch_progress.hpp
+++ b/src/gateway/batch_progress.hpp
@@ -18,7 +18,7 @@
     running,
     scoring, ///< its text is whole, its score is not there yet
     finished,
-    listed,
+    published,
 };
 
 /// The text of one item as far as it has been generated.
@@ -58,7 +58,7 @@
 
     // Commands.
     /// What the log holds at the next position, whoever wrote it. Items listed by others are finished.
-    void take_segment(const log_segment& segment);
+    void take_segment(const result_segment& segment);
     /// A waiting item is given to a replica.
     void start(std::size_t place);
     /// A run began under this version of the weights, behind what is there already.
@@ -80,18 +80,18 @@
     /// An answer that counts as a failed attempt; true where it was the last that the route allows.
     bool fail_attempt(std::size_t place);
     /// The segment to write next: results that are finished and not listed. None while one is being written.
-    std::optional<log_segment> next_segment(const std::string& writer);
-    void segment_failed() { writing_ = false; }
+    std::optional<result_segment> next_segment(const std::string& writer);
+    void finish_write() { writing_ = false; }
 
     // Queries.
     const batch_header& header() const { return header_; }
     std::vector<item_progress>& items() { return items_; }
     const std::vector<item_progress>& items() const { return items_; }
-    std::size_t listed() const { return listed_; }
-    bool all_listed() const { return listed_ >= header_.total; }
-    std::size_t unlisted_results() const { return finished_; }
+    std::size_t published() const { return published_; }
+    bool all_published() const { return published_ >= header_.total; }
+    std::size_t unpublished_results() const { return finished_; }
     /// Finished results that make a group whole, so that the trainer should hear of them at once.
-    bool group_waits() const;
+    bool has_complete_group() const;
     /// Items of the same group that are neither finished nor listed, this one with them.
     std::size_t open_in_group(std::size_t place) const;
     /// What was made of an item that is not listed; none where nothing was.
@@ -107,7 +107,7 @@
     std::map<std::string, std::size_t> places_;
     std::map<std::string, std::size_t>
         open_in_group_; ///< items of a group that are neither finished nor listed
-    std::size_t listed_ = 0;
+    std::size_t published_ = 0;
     std::size_t finished_ = 0;
     bool writing_ = false;
 
--- a/src/gateway/batch_runner.cpp
+++ b/src/gateway/batch_runner.cpp
@@ -13,9 +13,9 @@
 constexpr milliseconds look_every{50};
 
 /// Between two writes of results. Trainers read about twice a second; a write costs a call.
-constexpr milliseconds list_every{400};
+constexpr milliseconds publish_interval{400};
 /// A result whose group is not whole waits this long for others to be listed with it.
-constexpr milliseconds list_wait{600};
+constexpr milliseconds publish_delay{600};
 
 /// A gateway that has just started knows nobody else yet and would take every batch for its own. After a loss
 /// of power of the whole fleet all fronts would run each open batch, and the steps behind them would come
@@ -153,7 +153,7 @@
     co_return co_await read_items(store_, header);
 }
 
-net::task<bool> batch_runner::load_log(run& batch)
+net::task<bool> batch_runner::load_results(run& batch)
 {
     const auto page = co_await read_segments(store_, batch.progress.header().id, {});
     if (!ok(page)) {
@@ -236,7 +236,7 @@
     batch->give_up_at = header.accepted + header.max_age;
     bool loaded = fresh;
     while (!loaded) {
-        loaded = co_await load_log(*batch);
+        loaded = co_await load_results(*batch);
         if (!loaded) {
             co_await net::sleep_for(loop_, store_retry);
         }
@@ -262,18 +262,19 @@
         keep_texts(batch);
         const auto now = steady::now();
         auto& progress = batch->progress;
-        if (progress.unlisted_results() == 0) {
-            batch->first_unlisted = now;
+        if (progress.unpublished_results() == 0) {
+            batch->first_unpublished = now;
         }
-        const bool whole = progress.unlisted_results() + progress.listed() >= progress.header().total;
-        const bool due = progress.group_waits() || whole || now - batch->first_unlisted >= list_wait;
-        const bool rested = now - batch->last_listing >= list_every || whole;
-        if (batch->accepted && !batch->listing && progress.unlisted_results() > 0 && due && rested) {
-            batch->listing = true;
-            batch->last_listing = now;
-            net::start(loop_, list_results(batch));
+        const bool whole = progress.unpublished_results() + progress.published() >= progress.header().total;
+        const bool due =
+            progress.has_complete_group() || whole || now - batch->first_unpublished >= publish_delay;
+        const bool rested = now - batch->last_publish >= publish_interval || whole;
+        if (batch->accepted && !batch->publishing && progress.unpublished_results() > 0 && due && rested) {
+            batch->publishing = true;
+            batch->last_publish = now;
+            net::start(loop_, publish_results(batch));
         }
-        if (progress.all_listed()) {
+        if (progress.all_published()) {
             finished_.insert(progress.header().id);
             end(batch, "all items are listed");
             break;
@@ -293,7 +294,7 @@
     observe::log(observe::log_level::info, "batch_done",
                  {{"batch", progress.header().id},
                   {"why", std::string(why)},
-                  {"listed", static_cast<std::int64_t>(progress.listed())},
+                  {"listed", static_cast<std::int64_t>(progress.published())},
                   {"items", static_cast<std::int64_t>(progress.header().total)}});
     counts_.add("batches_done_total");
     batch->changed.notify();
@@ -318,7 +319,7 @@
     }
     for (std::size_t place = 0; place < batch.progress.items().size(); ++place) {
         const auto state = batch.progress.items()[place].state;
-        if (state != work_state::finished && state != work_state::listed) {
+        if (state != work_state::finished && state != work_state::published) {
             observe::log(
                 observe::log_level::warning, "item_given_up",
                 {{"request", batch.progress.items()[place].item.id}, {"batch", batch.progress.header().id}});
@@ -328,13 +329,13 @@
     batch.cancel_work();
 }
 
-net::task<void> batch_runner::list_results(run_ref batch)
+net::task<void> batch_runner::publish_results(run_ref batch)
 {
     auto& progress = batch->progress;
     const auto writer = fleet_.self() + "/" + std::to_string(fleet_.incarnation());
     auto segment = progress.next_segment(writer);
     if (segment) {
-        const auto kind = log_kind(progress.header().id);
+        const auto kind = results_kind(progress.header().id);
         const auto name = segment_name(segment->first);
         const auto written = co_await store_.create(kind, name, to_json(*segment));
         if (ok(written)) {
@@ -367,9 +368,9 @@
                          {{"batch", progress.header().id}, {"why", describe(failure(written))}});
             co_await net::sleep_for(loop_, store_retry);
         }
-        progress.segment_failed();
+        progress.finish_write();
     }
-    batch->listing = false;
+    batch->publishing = false;
     batch->changed.notify();
 }
 
--- a/src/gateway/batch_runner.hpp
+++ b/src/gateway/batch_runner.hpp
@@ -76,7 +76,7 @@
     void confirm_speculative(const run_ref& batch, const batch_header& header);
     net::task<void> drive(batch_header header);
     net::task_of<std::vector<batch_item>> load_items(const batch_header& header);
-    net::task<bool> load_log(run& batch);
+    net::task<bool> load_results(run& batch);
     net::task<void> load_texts(run_ref batch);
     void keep_texts(const run_ref& batch);
     net::task<void> write_texts(run_ref batch);
@@ -90,7 +90,7 @@
     net::task<void> score_item(run_ref batch, std::size_t place);
     void take_failure(run& batch, std::size_t place, target_ref at, int status, bool not_run);
     void log_completed(const batch_progress& progress, std::size_t place, const stream& open) const;
-    net::task<void> list_results(run_ref batch);
+    net::task<void> publish_results(run_ref batch);
     void give_up_old(run& batch);
     void move_stragglers(run& batch);
     void end(const run_ref& batch, const char* why);
--- a/src/gateway/batch_service.cpp
+++ b/src/gateway/batch_service.cpp
@@ -24,7 +24,7 @@
 constexpr std::size_t most_cached = 1;
 
 /// Logs whose segment ends are known here, a few dozen numbers each.
-constexpr std::size_t most_known_logs = 128;
+constexpr std::size_t max_known_results = 128;
 
 /// A shorter wait for results is not worth a call.
 constexpr milliseconds least_wait{50};
@@ -154,44 +154,46 @@
     co_return header_from_json(batch, value(stored).value, value(stored).status);
 }
 
-void batch_service::note(const std::string& batch, const std::vector<log_segment>& segments,
-                         std::uint64_t as_of)
+void batch_service::record_segments(const std::string& batch, const std::vector<result_segment>& segments,
+                                    std::uint64_t as_of)
 {
-    auto& known = logs_[batch];
+    auto& known = known_results_[batch];
     for (const auto& segment : segments) {
         const auto end = segment.first + segment.results.size();
         known.segment_ends.insert(end);
         known.end = std::max(known.end, end);
     }
     known.as_of = std::max(known.as_of, as_of);
-    if (logs_.size() > most_known_logs) {
-        logs_.erase(logs_.begin()->first == batch ? std::next(logs_.begin()) : logs_.begin());
+    if (known_results_.size() > max_known_results) {
+        known_results_.erase(known_results_.begin()->first == batch ? std::next(known_results_.begin())
+                                                                    : known_results_.begin());
     }
 }
 
 std::uint64_t batch_service::empty_as_of(const std::string& batch, std::size_t first) const
 {
-    const auto known = logs_.find(batch);
-    return known != logs_.end() && known->second.end == first ? known->second.as_of : 0;
+    const auto known = known_results_.find(batch);
+    return known != known_results_.end() && known->second.end == first ? known->second.as_of : 0;
 }
 
 // Segments are named by their first position. A reader goes on where a segment ended, so the segments named
 // behind the position before it are the ones it wants; from any other position all are read.
 net::task_of<segment_listing> batch_service::segments_from(std::string batch, std::size_t first)
 {
-    const auto known = logs_.find(batch);
-    const bool at_an_end = first > 0 && known != logs_.end() && known->second.segment_ends.contains(first);
+    const auto known = known_results_.find(batch);
+    const bool at_an_end =
+        first > 0 && known != known_results_.end() && known->second.segment_ends.contains(first);
     auto after = at_an_end ? segment_name(first - 1) : std::string{};
     auto listing = co_await read_segments(store_, batch, std::move(after));
     if (ok(listing)) {
-        note(batch, value(listing).segments, value(listing).as_of);
+        record_segments(batch, value(listing).segments, value(listing).as_of);
     }
     co_return listing;
 }
 
 namespace {
 
-void add_results(result_page& page, const std::vector<log_segment>& segments)
+void add_results(result_page& page, const std::vector<result_segment>& segments)
 {
     std::size_t bytes = 0;
     for (const auto& segment : segments) {
@@ -207,9 +209,9 @@
 }
 
 /// An unreadable one among them fails.
-result<std::vector<log_segment>> segments_of(const object_changes& changes)
+result<std::vector<result_segment>> segments_of(const object_changes& changes)
 {
-    std::vector<log_segment> segments;
+    std::vector<result_segment> segments;
     for (const auto& change : changes.events) {
         if (change.removed) {
             continue;
@@ -220,8 +222,9 @@
         }
         segments.push_back(std::move(value(segment)));
     }
-    std::sort(segments.begin(), segments.end(),
-              [](const log_segment& left, const log_segment& right) { return left.first < right.first; });
+    std::sort(segments.begin(), segments.end(), [](const result_segment& left, const result_segment& right) {
+        return left.first < right.first;
+    });
     return segments;
 }
 
@@ -231,7 +234,7 @@
                                                time_point until)
 {
     const auto left = std::chrono::duration_cast<milliseconds>(until - steady::now());
-    const auto changed = co_await store_.watch(log_kind(batch), since, left);
+    const auto changed = co_await store_.watch(results_kind(batch), since, left);
     if (!ok(changed)) {
         co_return false;
     }
@@ -239,7 +242,7 @@
     if (!ok(segments)) {
         co_return false;
     }
-    note(batch, value(segments), value(changed).as_of);
+    record_segments(batch, value(segments), value(changed).as_of);
     add_results(page, value(segments));
     co_return true;
 }
@@ -267,13 +270,13 @@
     if (told) {
         co_return page;
     }
-    const auto listed = co_await segments_from(batch, first);
-    if (!ok(listed)) {
-        co_return failure(listed);
+    const auto listing = co_await segments_from(batch, first);
+    if (!ok(listing)) {
+        co_return failure(listing);
     }
-    add_results(page, value(listed).segments);
+    add_results(page, value(listing).segments);
     if (page.results.empty() && until - steady::now() > least_wait) {
-        co_await add_new_results(page, batch, value(listed).as_of, until);
+        co_await add_new_results(page, batch, value(listing).as_of, until);
     }
     co_return page;
 }
--- a/src/gateway/batch_service.hpp
+++ b/src/gateway/batch_service.hpp
@@ -74,14 +74,15 @@
                                               time_point until);
     net::task_of<batch_header> find(std::string batch);
     /// What earlier reads have shown of a batch's results.
-    struct known_log {
+    struct known_results {
         std::set<std::size_t> segment_ends; ///< positions behind a segment
         std::size_t end = 0;                ///< no result stood from here on
         std::uint64_t as_of = 0;            ///< at this revision of the store; 0: never seen
     };
-    std::map<std::string, known_log> logs_;
+    std::map<std::string, known_results> known_results_;
 
-    void note(const std::string& batch, const std::vector<log_segment>& segments, std::uint64_t as_of);
+    void record_segments(const std::string& batch, const std::vector<result_segment>& segments,
+                         std::uint64_t as_of);
     /// The revision at which nothing stood from the position on; 0: not known.
     std::uint64_t empty_as_of(const std::string& batch, std::size_t first) const;
     net::task_of<segment_listing> segments_from(std::string batch, std::size_t first);
--- a/src/gateway/batch_store.cpp
+++ b/src/gateway/batch_store.cpp
@@ -26,7 +26,7 @@
     segment_listing listing;
     bool more = true;
     while (more) {
-        const auto page = co_await store.list(log_kind(batch), after);
+        const auto page = co_await store.list(results_kind(batch), after);
         if (!ok(page)) {
             co_return failure(page);
         }
--- a/src/gateway/batch_store.hpp
+++ b/src/gateway/batch_store.hpp
@@ -11,7 +11,7 @@
 namespace vanillagauge::gateway {
 
 struct segment_listing {
-    std::vector<log_segment> segments;
+    std::vector<result_segment> segments;
     std::uint64_t as_of = 0; ///< the store's revision; later segments show in a watch from here
 };
 
--- a/src/gateway/internal/batch_run.hpp
+++ b/src/gateway/internal/batch_run.hpp
@@ -28,9 +28,9 @@
     std::map<std::size_t, std::shared_ptr<call_ticket>> scoring_calls; ///< by the item's place
     bool accepted = true;                                              ///< the store has the batch
     bool ended = false;
-    bool listing = false;
-    time_point last_listing{};
-    time_point first_unlisted{};
+    bool publishing = false;
+    time_point last_publish{};
+    time_point first_unpublished{};
     text_keeper texts;
     bool keeping_texts = false;
     time_point texts_kept{}; ///< what was made since then would be lost with this gateway
--- a/tests/gateway/batch_progress_tests.cpp
+++ b/tests/gateway/batch_progress_tests.cpp
@@ -54,7 +54,7 @@
     progress.take_segment({0, "other", {{"i0", item_state::completed, "theirs", {2}}}});
     EXPECT_EQ(progress.begin_run(0, 2), run_break::not_wanted);
     progress.complete(0);
-    EXPECT_EQ(progress.unlisted_results(), 0U);
+    EXPECT_EQ(progress.unpublished_results(), 0U);
     EXPECT_EQ(progress.next_segment("me"), std::nullopt);
 }
 
@@ -66,7 +66,7 @@
     batch_progress progress(make_header(), std::move(items));
     finish(progress, 0);
     EXPECT_EQ(progress.items()[0].state, work_state::scoring);
-    EXPECT_EQ(progress.unlisted_results(), 0U);
+    EXPECT_EQ(progress.unpublished_results(), 0U);
     EXPECT_EQ(progress.next_segment("me"), std::nullopt);
     EXPECT_EQ(progress.open_in_group(0), 2U);
     progress.take_score(0, "code");
@@ -75,7 +75,7 @@
     EXPECT_EQ(segment->results,
               (std::vector<item_result>{{"i0", item_state::completed, "text", {2}, "code"}}));
     progress.take_score(0, "another");
-    EXPECT_EQ(progress.unlisted_results(), 1U);
+    EXPECT_EQ(progress.unpublished_results(), 1U);
 }
 
 // Another owner lists an item, with another score, while this one waits for its own: the listed one stands.
@@ -87,9 +87,9 @@
     finish(progress, 0);
     progress.take_segment({0, "other", {{"i0", item_state::completed, "text", {2}, "theirs"}}});
     progress.take_score(0, "mine");
-    EXPECT_EQ(progress.items()[0].state, work_state::listed);
+    EXPECT_EQ(progress.items()[0].state, work_state::published);
     EXPECT_EQ(progress.next_segment("me"), std::nullopt);
-    EXPECT_TRUE(progress.all_listed());
+    EXPECT_TRUE(progress.all_published());
 }
 
 // The owner dies with a text half made and another that lacks only its score. The next owner asks for what
@@ -128,8 +128,8 @@
     progress.take_text({"i2", "mine", 1, 1, {2}, true});
     EXPECT_EQ(progress.items()[0].events, 0U);
     EXPECT_EQ(progress.items()[1].events, 0U);
-    EXPECT_EQ(progress.items()[2].state, work_state::listed);
-    EXPECT_EQ(progress.unlisted_results(), 0U);
+    EXPECT_EQ(progress.items()[2].state, work_state::published);
+    EXPECT_EQ(progress.unpublished_results(), 0U);
 }
 
 TEST(batch_texts, come_back_as_they_were_kept)
@@ -164,7 +164,7 @@
     ASSERT_EQ(parts.size(), 2U);
     EXPECT_EQ(value(items_from_json(parts[0]))[0].scoring, item.scoring);
     EXPECT_EQ(value(items_from_json(parts[1]))[0].scoring, std::nullopt);
-    const log_segment segment{
+    const result_segment segment{
         0, "me", {{"i0", item_state::completed, "text", {2}, "code"}, {"i1", {}, "", {}, ""}}};
     const auto read = segment_from_json(segment_name(0), to_json(segment));
     EXPECT_EQ(value(read).results, segment.results);
@@ -247,16 +247,16 @@
 {
     batch_progress progress(make_header(), make_items(4));
     finish(progress, 0);
-    EXPECT_FALSE(progress.group_waits());
+    EXPECT_FALSE(progress.has_complete_group());
     finish(progress, 1);
-    EXPECT_TRUE(progress.group_waits());
+    EXPECT_TRUE(progress.has_complete_group());
 }
 
 /// The store as segments see it: a name is created once, whatever is lost or late.
-struct model_log {
-    std::map<std::size_t, log_segment> segments;
+struct fake_results {
+    std::map<std::size_t, result_segment> segments;
 
-    bool create(const log_segment& segment) { return segments.emplace(segment.first, segment).second; }
+    bool create(const result_segment& segment) { return segments.emplace(segment.first, segment).second; }
 };
 
 // Two owners run one batch. Their writes are done and answered, done without an answer, or done later.
@@ -264,11 +264,11 @@
 RC_GTEST_PROP(batch_progress, lists_every_item_once_with_two_owners, ())
 {
     constexpr std::size_t count = 6;
-    model_log log;
+    fake_results stored;
     std::vector<batch_progress> owners;
     owners.emplace_back(make_header(), make_items(count));
     owners.emplace_back(make_header(), make_items(count));
-    std::vector<log_segment> late;
+    std::vector<result_segment> late;
     const auto steps = *rc::gen::container<std::vector<int>>(60, rc::gen::inRange(0, 1000));
     for (const auto step : steps) {
         auto& owner = owners[static_cast<std::size_t>(step % 2)];
@@ -284,24 +284,24 @@
         case 2:
         case 3:
             if (const auto segment = owner.next_segment("w")) {
-                if (log.create(*segment)) {
+                if (stored.create(*segment)) {
                     owner.take_segment(*segment);
                 }
                 else {
-                    owner.take_segment(log.segments.at(segment->first));
+                    owner.take_segment(stored.segments.at(segment->first));
                 }
-                owner.segment_failed();
+                owner.finish_write();
             }
             break;
         case 4: // done, or to be done later, without an answer
             if (const auto segment = owner.next_segment("w")) {
                 late.push_back(*segment);
-                owner.segment_failed();
+                owner.finish_write();
             }
             break;
         default:
             if (!late.empty()) {
-                log.create(late.back());
+                stored.create(late.back());
                 late.pop_back();
             }
             break;
@@ -309,7 +309,7 @@
     }
     std::set<std::string> seen;
     std::size_t next = 0;
-    for (const auto& [first, segment] : log.segments) {
+    for (const auto& [first, segment] : stored.segments) {
         RC_ASSERT(first == next);
         next += segment.results.size();
         for (const auto& entry : segment.results) {
