--- a/src/gateway/batch_progress.cpp
+++ b/src/gateway/batch_progress.cpp
@@ -31,7 +31,7 @@
 
 // Positions are facts once their segment stands in the store. A result of this owner for an item that another
 // owner listed first is dropped: the trainer has read the other one, or will.
-void batch_progress::take_segment(const result_segment& segment)
+void batch_progress::apply_segment(const result_segment& segment)
 {
     if (segment.first != published_) {
         return;
@@ -57,47 +57,47 @@
     writing_ = false;
 }
 
-run_break batch_progress::begin_run(std::size_t place, std::uint64_t version)
+run_rejection batch_progress::begin_run(std::size_t place, std::uint64_t version)
 {
     auto& entry = items_[place];
     // Another owner may have listed the item while this run was being opened; a position never changes.
     if (entry.state != work_state::running) {
-        return run_break::not_wanted;
+        return run_rejection::not_running;
     }
     if (version < header_.least_version) {
-        return run_break::old_weights;
+        return run_rejection::old_weights;
     }
     const bool mixes = !entry.versions.empty() && !entry.versions.contains(version);
     if (header_.single_version && mixes) {
-        return run_break::mixed_weights;
+        return run_rejection::mixed_weights;
     }
     entry.current_version = version;
-    return run_break::none;
+    return run_rejection::none;
 }
 
-run_break batch_progress::take_event(std::size_t place, const net::stream_event& event,
-                                     std::optional<std::uint64_t> new_version)
+run_rejection batch_progress::append_event(std::size_t place, const net::stream_event& event,
+                                           std::optional<std::uint64_t> new_version)
 {
     auto& entry = items_[place];
     if (event.id && entry.last_event && *event.id != *entry.last_event + 1) {
-        return run_break::wrong_event;
+        return run_rejection::wrong_event;
     }
     if (new_version) {
         entry.current_version = *new_version;
     }
     if (entry.current_version < header_.least_version) {
-        return run_break::old_weights;
+        return run_rejection::old_weights;
     }
     if (header_.single_version && !entry.versions.empty() &&
         !entry.versions.contains(entry.current_version)) {
-        return run_break::mixed_weights;
+        return run_rejection::mixed_weights;
     }
     entry.text += entry.events > 0 ? "\n" : "";
     entry.text += event.data;
     ++entry.events;
     entry.versions.insert(entry.current_version);
     entry.last_event = event.id ? event.id : entry.last_event;
-    return run_break::none;
+    return run_rejection::none;
 }
 
 void batch_progress::start(std::size_t place)
@@ -110,7 +110,7 @@
 }
 
 // Texts made under weights that are too old for the batch are of no use.
-void batch_progress::take_text(const item_text& text)
+void batch_progress::restore_text(const item_text& text)
 {
     const auto found = places_.find(text.id);
     if (found == places_.end() || text.versions.empty() || *text.versions.begin() < header_.least_version) {
@@ -144,7 +144,7 @@
                      entry.versions, finished || entry.state == work_state::scoring};
 }
 
-void batch_progress::restart(std::size_t place)
+void batch_progress::discard_text(std::size_t place)
 {
     auto& entry = items_[place];
     entry.text.clear();
@@ -175,7 +175,7 @@
     finish_completed(place, {});
 }
 
-void batch_progress::take_score(std::size_t place, const std::string& score)
+void batch_progress::set_score(std::size_t place, const std::string& score)
 {
     if (items_[place].state == work_state::scoring) {
         finish_completed(place, score);
@@ -211,7 +211,7 @@
 
 bool batch_progress::fail_attempt(std::size_t place)
 {
-    restart(place);
+    discard_text(place);
     return ++items_[place].failures >= header_.attempts;
 }
 
--- a/src/gateway/batch_progress.hpp
+++ b/src/gateway/batch_progress.hpp
@@ -50,7 +50,7 @@
 };
 
 /// Why a run's answer does not continue the text that is there.
-enum class run_break { none, old_weights, mixed_weights, wrong_event, not_wanted };
+enum class run_rejection { none, old_weights, mixed_weights, wrong_event, not_running };
 
 class batch_progress {
 public:
@@ -58,21 +58,21 @@
 
     // Commands.
     /// What the log holds at the next position, whoever wrote it. Items listed by others are finished.
-    void take_segment(const result_segment& segment);
+    void apply_segment(const result_segment& segment);
     /// A waiting item is given to a replica.
     void start(std::size_t place);
     /// A run began under this version of the weights, behind what is there already.
-    run_break begin_run(std::size_t place, std::uint64_t version);
-    run_break take_event(std::size_t place, const net::stream_event& event,
-                         std::optional<std::uint64_t> new_version);
+    run_rejection begin_run(std::size_t place, std::uint64_t version);
+    run_rejection append_event(std::size_t place, const net::stream_event& event,
+                               std::optional<std::uint64_t> new_version);
     /// The text that an earlier owner made of an item that has none here.
-    void take_text(const item_text& text);
+    void restore_text(const item_text& text);
     /// Drops the text, which a run cannot continue.
-    void restart(std::size_t place);
+    void discard_text(std::size_t place);
     /// The run is over and its text is whole. The item is finished, or waits for its score.
     void complete(std::size_t place);
     /// The score of an item whose text is whole.
-    void take_score(std::size_t place, const std::string& score);
+    void set_score(std::size_t place, const std::string& score);
     /// The item can never be done, or may be given up.
     void terminate(std::size_t place);
     /// The run ended early; the item goes on, or begins, elsewhere.
--- a/src/gateway/batch_runner.cpp
+++ b/src/gateway/batch_runner.cpp
@@ -20,7 +20,7 @@
 /// A gateway that has just started knows nobody else yet and would take every batch for its own. After a loss
 /// of power of the whole fleet all fronts would run each open batch, and the steps behind them would come
 /// late. Members find each other within this time.
-constexpr milliseconds view_settles{1500};
+constexpr milliseconds discovery_time{1500};
 
 constexpr milliseconds store_retry{300};
 
@@ -37,9 +37,9 @@
 {
 }
 
-void batch_runner::keep_items(const std::string& batch, std::vector<batch_item> items)
+void batch_runner::cache_items(const std::string& batch, std::vector<batch_item> items)
 {
-    kept_items_[batch] = std::move(items);
+    cached_items_[batch] = std::move(items);
 }
 
 const batch_header* batch_runner::find(const std::string& batch) const
@@ -50,24 +50,24 @@
 
 // The gateway that accepted a batch runs it. When that process is gone, one of the others does, the same by
 // every view that agrees on the members. Two that run it waste work and cannot list an item twice.
-bool batch_runner::is_mine(const batch_header& header) const
+bool batch_runner::owned_here(const batch_header& header) const
 {
     if (fleet_.lives(header.owner_vm, header.owner_incarnation)) {
         return header.owner_vm == fleet_.self();
     }
-    if (!view_whole_ && steady::now() - started_ < view_settles) {
+    if (!view_complete_ && steady::now() - started_ < discovery_time) {
         return false;
     }
     const auto ranked = fleet_.owners_of(header.id);
     return !ranked.empty() && ranked.front() == fleet_.self();
 }
 
-void batch_runner::take_header(const batch_header& header)
+void batch_runner::update_header(const batch_header& header)
 {
     headers_[header.id] = header;
     const auto found = active_.find(header.id);
     if (header.ended) {
-        kept_items_.erase(header.id);
+        cached_items_.erase(header.id);
         finished_.erase(header.id);
         if (found != active_.end() && found->second) {
             end(found->second, "ended by its trainer");
@@ -77,7 +77,7 @@
     if (found != active_.end() && found->second && !found->second->accepted) {
         confirm_speculative(found->second, header);
     }
-    if (!active_.contains(header.id) && !finished_.contains(header.id) && is_mine(header)) {
+    if (!active_.contains(header.id) && !finished_.contains(header.id) && owned_here(header)) {
         start(header);
     }
 }
@@ -87,16 +87,16 @@
 // nobody is told that the batch stands, before the store has it.
 void batch_runner::run_speculative(const batch_header& header, std::vector<batch_item> items)
 {
-    if (!taking_ || active_.contains(header.id) || finished_.contains(header.id)) {
+    if (!starts_batches_ || active_.contains(header.id) || finished_.contains(header.id)) {
         return;
     }
     const auto batch = std::make_shared<run>(loop_, store_, header, std::move(items));
-    batch->give_up_at = header.accepted + header.max_age;
+    batch->expires_at = header.accepted + header.max_age;
     batch->accepted = false;
     active_[header.id] = batch;
     observe::log(observe::log_level::info, "batch_run_ahead",
                  {{"batch", header.id}, {"items", static_cast<std::int64_t>(header.total)}});
-    net::start(loop_, work_through(batch));
+    net::start(loop_, run_until_done(batch));
 }
 
 void batch_runner::confirm_speculative(const run_ref& batch, const batch_header& header)
@@ -118,10 +118,10 @@
     }
 }
 
-void batch_runner::review()
+void batch_runner::review_ownership()
 {
     for (const auto& [id, header] : headers_) {
-        if (!header.ended && !finished_.contains(id) && !active_.contains(id) && is_mine(header)) {
+        if (!header.ended && !finished_.contains(id) && !active_.contains(id) && owned_here(header)) {
             start(header);
         }
     }
@@ -129,7 +129,7 @@
 
 void batch_runner::start(const batch_header& header)
 {
-    if (!taking_) {
+    if (!starts_batches_) {
         return;
     }
     active_[header.id] = nullptr;
@@ -139,15 +139,15 @@
                   {"items", static_cast<std::int64_t>(header.total)},
                   {"accepted_by", header.owner_vm},
                   {"least_version", static_cast<std::int64_t>(header.least_version)}});
-    net::start(loop_, drive(header));
+    net::start(loop_, load_and_run(header));
 }
 
 net::task_of<std::vector<batch_item>> batch_runner::load_items(const batch_header& header)
 {
-    const auto kept = kept_items_.find(header.id);
-    if (kept != kept_items_.end()) {
-        auto items = std::move(kept->second);
-        kept_items_.erase(kept);
+    const auto cached = cached_items_.find(header.id);
+    if (cached != cached_items_.end()) {
+        auto items = std::move(cached->second);
+        cached_items_.erase(cached);
         co_return items;
     }
     co_return co_await read_items(store_, header);
@@ -160,7 +160,7 @@
         co_return false;
     }
     for (const auto& segment : value(page).segments) {
-        batch.progress.take_segment(segment);
+        batch.progress.apply_segment(segment);
     }
     co_return true;
 }
@@ -172,7 +172,7 @@
     std::size_t events = 0;
     if (ok(kept)) {
         for (const auto& text : value(kept)) {
-            batch->progress.take_text(text);
+            batch->progress.restore_text(text);
             events += text.events;
         }
     }
@@ -217,9 +217,9 @@
                   {"outcome", ok(kept) ? std::string("done") : describe(failure(kept))}});
 }
 
-net::task<void> batch_runner::drive(batch_header header)
+net::task<void> batch_runner::load_and_run(batch_header header)
 {
-    const bool fresh = kept_items_.contains(header.id);
+    const bool fresh = cached_items_.contains(header.id);
     auto items = co_await load_items(header);
     while (!ok(items)) {
         observe::log(observe::log_level::warning, "batch_items_unread",
@@ -233,7 +233,7 @@
         items = co_await load_items(header);
     }
     const auto batch = std::make_shared<run>(loop_, store_, header, std::move(value(items)));
-    batch->give_up_at = header.accepted + header.max_age;
+    batch->expires_at = header.accepted + header.max_age;
     bool loaded = fresh;
     while (!loaded) {
         loaded = co_await load_results(*batch);
@@ -250,15 +250,15 @@
         co_await load_texts(batch);
     }
     active_[header.id] = batch;
-    co_await work_through(batch);
+    co_await run_until_done(batch);
 }
 
-net::task<void> batch_runner::work_through(run_ref batch)
+net::task<void> batch_runner::run_until_done(run_ref batch)
 {
     while (!batch->ended) {
         place_items();
         move_stragglers(*batch);
-        give_up_old(*batch);
+        expire_items(*batch);
         keep_texts(batch);
         const auto now = steady::now();
         auto& progress = batch->progress;
@@ -299,10 +299,10 @@
     counts_.add("batches_done_total");
     batch->changed.notify();
     active_.erase(progress.header().id);
-    wake();
+    notify();
 }
 
-void batch_runner::wake()
+void batch_runner::notify()
 {
     for (const auto& [id, batch] : active_) {
         if (batch) {
@@ -312,9 +312,9 @@
 }
 
 // An item older than its route allows may be given up; the trainer hears of it rather than wait for ever.
-void batch_runner::give_up_old(run& batch)
+void batch_runner::expire_items(run& batch)
 {
-    if (batch.progress.header().max_age.count() <= 0 || std::chrono::system_clock::now() < batch.give_up_at) {
+    if (batch.progress.header().max_age.count() <= 0 || std::chrono::system_clock::now() < batch.expires_at) {
         return;
     }
     for (std::size_t place = 0; place < batch.progress.items().size(); ++place) {
@@ -343,14 +343,14 @@
                          {{"batch", progress.header().id},
                           {"first", static_cast<std::int64_t>(segment->first)},
                           {"results", static_cast<std::int64_t>(segment->results.size())}});
-            progress.take_segment(*segment);
+            progress.apply_segment(*segment);
         }
         else if (failure(written).code == error_code::conflict) {
             // Another owner, or a write of this one that was thought lost, has filled the position.
             const auto standing = nlohmann::json::parse(failure(written).current, nullptr, false);
             const auto parsed = segment_from_json(name, standing);
             if (ok(parsed)) {
-                progress.take_segment(value(parsed));
+                progress.apply_segment(value(parsed));
                 observe::log(
                     observe::log_level::info, "segment_stood",
                     {{"batch", progress.header().id}, {"first", static_cast<std::int64_t>(segment->first)}});
--- a/src/gateway/batch_runner.hpp
+++ b/src/gateway/batch_runner.hpp
@@ -28,27 +28,27 @@
 
     // Commands.
     /// Keeps the items of a batch that is being accepted here, so that they need not be read back.
-    void keep_items(const std::string& batch, std::vector<batch_item> items);
+    void cache_items(const std::string& batch, std::vector<batch_item> items);
     /// What the store now says of a batch.
-    void take_header(const batch_header& header);
-    /// Runs a batch that the store may not have yet; results are listed once `take_header` brings it as this
-    /// gateway's.
+    void update_header(const batch_header& header);
+    /// Runs a batch that the store may not have yet; results are listed once `update_header` brings it as
+    /// this gateway's.
     void run_speculative(const batch_header& header, std::vector<batch_item> items);
     /// Ends what `run_speculative` began and the store never took.
     void drop_speculative(const std::string& batch);
     /// The members of the fleet changed: batches of those that are gone may be this gateway's.
-    void review();
+    void review_ownership();
     /// This gateway has met all that are registered, so its view of the fleet may decide.
-    void take_view_as_whole() { view_whole_ = true; }
+    void mark_view_complete() { view_complete_ = true; }
     /// Replicas came, went or changed.
-    void wake();
+    void notify();
     /// Starts no batch any more; those that run go on.
-    void stop_taking() { taking_ = false; }
+    void drain() { starts_batches_ = false; }
 
     // Queries.
     const batch_header* find(const std::string& batch) const;
     std::size_t running() const { return active_.size(); }
-    bool taking() const { return taking_; }
+    bool starts_batches() const { return starts_batches_; }
     bool runs(const std::string& batch) const { return active_.contains(batch); }
 
 private:
@@ -64,23 +64,23 @@
     item_scorer& scorer_;
     observe::metrics& counts_;
     std::map<std::string, batch_header> headers_;
-    std::map<std::string, std::vector<batch_item>> kept_items_;
+    std::map<std::string, std::vector<batch_item>> cached_items_;
     std::map<std::string, run_ref> active_;
     std::set<std::string> finished_; ///< all is listed, and their trainers have not ended them yet
     time_point started_;
-    bool taking_ = true;
-    bool view_whole_ = false;
+    bool starts_batches_ = true;
+    bool view_complete_ = false;
 
-    bool is_mine(const batch_header& header) const;
+    bool owned_here(const batch_header& header) const;
     void start(const batch_header& header);
     void confirm_speculative(const run_ref& batch, const batch_header& header);
-    net::task<void> drive(batch_header header);
+    net::task<void> load_and_run(batch_header header);
     net::task_of<std::vector<batch_item>> load_items(const batch_header& header);
     net::task<bool> load_results(run& batch);
     net::task<void> load_texts(run_ref batch);
     void keep_texts(const run_ref& batch);
     net::task<void> write_texts(run_ref batch);
-    net::task<void> work_through(run_ref batch);
+    net::task<void> run_until_done(run_ref batch);
     void place_items();
     bool place_items_of(const run_ref& batch, const std::vector<target_ref>& engines);
     net::task<void> run_item(run_ref batch, std::size_t place, target_ref at);
@@ -88,13 +88,13 @@
                                 std::shared_ptr<stream> open);
     net::task<bool> read_events(run_ref batch, std::size_t place, std::shared_ptr<stream> open);
     net::task<void> score_item(run_ref batch, std::size_t place);
-    void take_failure(run& batch, std::size_t place, target_ref at, int status, bool not_run);
+    void handle_failure(run& batch, std::size_t place, target_ref at, int status, bool not_run);
     void log_completed(const batch_progress& progress, std::size_t place, const stream& open) const;
     net::task<void> publish_results(run_ref batch);
-    void give_up_old(run& batch);
+    void expire_items(run& batch);
     void move_stragglers(run& batch);
     void end(const run_ref& batch, const char* why);
-    bool someone_waits() const;
+    bool has_waiting_items() const;
 };
 
 } // namespace vanillagauge::gateway
--- a/src/gateway/batch_runner_items.cpp
+++ b/src/gateway/batch_runner_items.cpp
@@ -66,7 +66,7 @@
     batch->changed.notify();
 }
 
-void batch_runner::take_failure(run& batch, std::size_t place, target_ref at, int status, bool not_run)
+void batch_runner::handle_failure(run& batch, std::size_t place, target_ref at, int status, bool not_run)
 {
     const auto now = steady::now();
     const auto& item = batch.progress.items()[place].item;
@@ -128,7 +128,7 @@
         const auto most_errors = std::max(outcome.most_internal_errors, progress.header().attempts);
         const bool hopeless = !scored && internal_errors >= most_errors;
         if (scored) {
-            progress.take_score(place, value(outcome.score));
+            progress.set_score(place, value(outcome.score));
         }
         else if (hopeless) {
             progress.terminate(place);
@@ -189,14 +189,14 @@
         if (std::holds_alternative<std::string>(rest)) {
             at->pool.give_back(open->connection, idle);
         }
-        take_failure(*batch, place, at, status, marks.not_run);
+        handle_failure(*batch, place, at, status, marks.not_run);
         co_return;
     }
     const bool sound = marks.echoes_attempt && !marks.authentication_code.empty();
-    const auto began = sound ? progress.begin_run(place, marks.weights_version) : run_break::wrong_event;
-    if (began != run_break::none) {
-        if (began == run_break::mixed_weights) {
-            progress.restart(place);
+    const auto began = sound ? progress.begin_run(place, marks.weights_version) : run_rejection::wrong_event;
+    if (began != run_rejection::none) {
+        if (began == run_rejection::mixed_weights) {
+            progress.discard_text(place);
         }
         connection.close();
         progress.release(place, steady::now() + full_back_off, lifetime);
@@ -227,9 +227,9 @@
             break;
         }
         for (const auto& event : reader.take(bytes->bytes)) {
-            const auto broken = progress.take_event(place, event, protocol_.weights_version(event));
-            if (broken != run_break::none) {
-                progress.restart(place);
+            const auto broken = progress.append_event(place, event, protocol_.weights_version(event));
+            if (broken != run_rejection::none) {
+                progress.discard_text(place);
                 progress.release(place, steady::now() + full_back_off, lifetime);
                 co_return false;
             }
--- a/src/gateway/batch_runner_placement.cpp
+++ b/src/gateway/batch_runner_placement.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-bool batch_runner::someone_waits() const
+bool batch_runner::has_waiting_items() const
 {
     for (const auto& [id, batch] : active_) {
         if (!batch) {
@@ -118,7 +118,7 @@
 // waits for a place: then the places of faster engines are free.
 void batch_runner::move_stragglers(run& batch)
 {
-    if (batch.streams.empty() || someone_waits()) {
+    if (batch.streams.empty() || has_waiting_items()) {
         return;
     }
     const auto engines = targets_.of_service(batch.progress.header().service);
--- a/src/gateway/batch_service.cpp
+++ b/src/gateway/batch_service.cpp
@@ -120,13 +120,13 @@
     current->naming = true;
     // A gateway that stops starts no batch, and the others would wait until it has left.
     const auto successor =
-        runner_.taking() || runner_.runs(header.id) ? std::nullopt : other_owner(header.id);
+        runner_.starts_batches() || runner_.runs(header.id) ? std::nullopt : other_owner(header.id);
     if (successor) {
         header.owner_vm = successor->vm;
         header.owner_incarnation = successor->incarnation;
     }
     if (header.owner_vm == fleet_.self()) {
-        runner_.keep_items(header.id, current->submission.items);
+        runner_.cache_items(header.id, current->submission.items);
     }
     auto created = co_await create_surely(batch_kind, header.id, to_json(header), until);
     if (ok(created)) {
--- a/src/gateway/batch_service_speculative.cpp
+++ b/src/gateway/batch_service_speculative.cpp
@@ -128,7 +128,7 @@
         response.body = failure(read).detail;
         return response;
     }
-    if (!runner_.taking()) {
+    if (!runner_.starts_batches()) {
         response.status = 503;
         return response;
     }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -128,7 +128,7 @@
 void gateway::state::replicas_changed()
 {
     forwarding.refresh(steady::now());
-    runner.wake();
+    runner.notify();
 }
 
 void gateway::state::take_replica(const object_change& change)
@@ -198,7 +198,7 @@
         log_unreadable(batch_kind, change.object.name, failure(header));
         return;
     }
-    runner.take_header(value(header));
+    runner.update_header(value(header));
 }
 
 // Nothing that must last stands on a VM: batches and their results are in the store. So a VM that is to be
@@ -300,7 +300,7 @@
 {
     while (true) {
         if (knows_all_registered()) {
-            runner.take_view_as_whole();
+            runner.mark_view_complete();
         }
         const auto generation = targets.generation();
         targets.expire(steady::now());
@@ -308,7 +308,7 @@
             replicas_changed();
         }
         fleet.set_front_open(serves_callers() && ready() && !fleet.isolated());
-        runner.review();
+        runner.review_ownership();
         co_await net::sleep_for(loop, housekeeping_every);
     }
 }
@@ -384,7 +384,7 @@
     state_->draining = true;
     state_->forwarding.stop_by(std::move(plan));
     state_->fleet.set_draining();
-    state_->runner.stop_taking();
+    state_->runner.drain();
 }
 
 void gateway::leave()
--- a/src/gateway/internal/batch_run.hpp
+++ b/src/gateway/internal/batch_run.hpp
@@ -34,7 +34,7 @@
     text_keeper texts;
     bool keeping_texts = false;
     time_point texts_kept{}; ///< what was made since then would be lost with this gateway
-    wall_time give_up_at{};
+    wall_time expires_at{};
 
     void cancel_work()
     {
--- a/tests/gateway/batch_progress_tests.cpp
+++ b/tests/gateway/batch_progress_tests.cpp
@@ -39,8 +39,8 @@
 void finish(batch_progress& progress, std::size_t place)
 {
     progress.start(place);
-    ASSERT_EQ(progress.begin_run(place, 2), run_break::none);
-    ASSERT_EQ(progress.take_event(place, make_event(1, "text"), std::nullopt), run_break::none);
+    ASSERT_EQ(progress.begin_run(place, 2), run_rejection::none);
+    ASSERT_EQ(progress.append_event(place, make_event(1, "text"), std::nullopt), run_rejection::none);
     progress.complete(place);
 }
 
@@ -51,8 +51,8 @@
 {
     batch_progress progress(make_header(), make_items(2));
     progress.start(0);
-    progress.take_segment({0, "other", {{"i0", item_state::completed, "theirs", {2}}}});
-    EXPECT_EQ(progress.begin_run(0, 2), run_break::not_wanted);
+    progress.apply_segment({0, "other", {{"i0", item_state::completed, "theirs", {2}}}});
+    EXPECT_EQ(progress.begin_run(0, 2), run_rejection::not_running);
     progress.complete(0);
     EXPECT_EQ(progress.unpublished_results(), 0U);
     EXPECT_EQ(progress.next_segment("me"), std::nullopt);
@@ -69,12 +69,12 @@
     EXPECT_EQ(progress.unpublished_results(), 0U);
     EXPECT_EQ(progress.next_segment("me"), std::nullopt);
     EXPECT_EQ(progress.open_in_group(0), 2U);
-    progress.take_score(0, "code");
+    progress.set_score(0, "code");
     const auto segment = progress.next_segment("me");
     ASSERT_TRUE(segment);
     EXPECT_EQ(segment->results,
               (std::vector<item_result>{{"i0", item_state::completed, "text", {2}, "code"}}));
-    progress.take_score(0, "another");
+    progress.set_score(0, "another");
     EXPECT_EQ(progress.unpublished_results(), 1U);
 }
 
@@ -85,8 +85,8 @@
     items[0].scoring = scoring_call{"s0", "h", "/score/0", ""};
     batch_progress progress(make_header(), std::move(items));
     finish(progress, 0);
-    progress.take_segment({0, "other", {{"i0", item_state::completed, "text", {2}, "theirs"}}});
-    progress.take_score(0, "mine");
+    progress.apply_segment({0, "other", {{"i0", item_state::completed, "text", {2}, "theirs"}}});
+    progress.set_score(0, "mine");
     EXPECT_EQ(progress.items()[0].state, work_state::published);
     EXPECT_EQ(progress.next_segment("me"), std::nullopt);
     EXPECT_TRUE(progress.all_published());
@@ -99,16 +99,16 @@
     auto items = make_items(2);
     items[1].scoring = scoring_call{"s1", "h", "/score/1", ""};
     batch_progress progress(make_header(), std::move(items));
-    progress.take_text({"i0", "one\ntwo", 2, 2, {2}, false});
-    progress.take_text({"i1", "whole", 1, 1, {3}, true});
+    progress.restore_text({"i0", "one\ntwo", 2, 2, {2}, false});
+    progress.restore_text({"i1", "whole", 1, 1, {3}, true});
     EXPECT_EQ(progress.items()[0].state, work_state::waiting);
     EXPECT_EQ(progress.items()[0].last_event, 2U);
     EXPECT_EQ(progress.items()[1].state, work_state::scoring);
     progress.start(0);
-    ASSERT_EQ(progress.begin_run(0, 3), run_break::none);
-    ASSERT_EQ(progress.take_event(0, make_event(3, "three"), std::nullopt), run_break::none);
+    ASSERT_EQ(progress.begin_run(0, 3), run_rejection::none);
+    ASSERT_EQ(progress.append_event(0, make_event(3, "three"), std::nullopt), run_rejection::none);
     progress.complete(0);
-    progress.take_score(1, "code");
+    progress.set_score(1, "code");
     const auto segment = progress.next_segment("me");
     ASSERT_TRUE(segment);
     const std::vector<item_result> expected{{"i0", item_state::completed, "one\ntwo\nthree", {2, 3}, ""},
@@ -121,11 +121,11 @@
     auto header = make_header();
     header.single_version = true;
     batch_progress progress(header, make_items(3));
-    progress.take_text({"i0", "old", 1, 1, {1}, false});
-    progress.take_text({"i1", "mixed", 2, 2, {2, 3}, false});
-    progress.take_text({"elsewhere", "text", 1, 1, {2}, false});
-    progress.take_segment({0, "other", {{"i2", item_state::completed, "theirs", {2}, ""}}});
-    progress.take_text({"i2", "mine", 1, 1, {2}, true});
+    progress.restore_text({"i0", "old", 1, 1, {1}, false});
+    progress.restore_text({"i1", "mixed", 2, 2, {2, 3}, false});
+    progress.restore_text({"elsewhere", "text", 1, 1, {2}, false});
+    progress.apply_segment({0, "other", {{"i2", item_state::completed, "theirs", {2}, ""}}});
+    progress.restore_text({"i2", "mine", 1, 1, {2}, true});
     EXPECT_EQ(progress.items()[0].events, 0U);
     EXPECT_EQ(progress.items()[1].events, 0U);
     EXPECT_EQ(progress.items()[2].state, work_state::published);
@@ -137,13 +137,13 @@
     batch_progress progress(make_header(), make_items(2));
     for (std::size_t place = 0; place < 2; ++place) {
         progress.start(place);
-        ASSERT_EQ(progress.begin_run(place, 2), run_break::none);
+        ASSERT_EQ(progress.begin_run(place, 2), run_rejection::none);
     }
     constexpr std::uint64_t events = 12;
     for (std::uint64_t number = 1; number <= events; ++number) {
-        ASSERT_EQ(progress.take_event(1, make_event(number, "x"), std::nullopt), run_break::none);
+        ASSERT_EQ(progress.append_event(1, make_event(number, "x"), std::nullopt), run_rejection::none);
     }
-    ASSERT_EQ(progress.take_event(0, make_event(1, "x"), std::nullopt), run_break::none);
+    ASSERT_EQ(progress.append_event(0, make_event(1, "x"), std::nullopt), run_rejection::none);
     const auto texts = texts_to_keep(progress);
     ASSERT_EQ(texts.size(), 1U) << "a text of one event is soon made again";
     EXPECT_EQ(texts[0].id, "i1");
@@ -174,13 +174,13 @@
 {
     batch_progress progress(make_header(), make_items(1));
     progress.start(0);
-    ASSERT_EQ(progress.begin_run(0, 2), run_break::none);
-    ASSERT_EQ(progress.take_event(0, make_event(1, "one"), std::nullopt), run_break::none);
+    ASSERT_EQ(progress.begin_run(0, 2), run_rejection::none);
+    ASSERT_EQ(progress.append_event(0, make_event(1, "one"), std::nullopt), run_rejection::none);
     progress.release(0, {}, "r1");
     EXPECT_EQ(progress.items()[0].last_event, 1U);
     progress.start(0);
-    ASSERT_EQ(progress.begin_run(0, 3), run_break::none);
-    ASSERT_EQ(progress.take_event(0, make_event(2, "two"), std::nullopt), run_break::none);
+    ASSERT_EQ(progress.begin_run(0, 3), run_rejection::none);
+    ASSERT_EQ(progress.append_event(0, make_event(2, "two"), std::nullopt), run_rejection::none);
     progress.complete(0);
     const auto segment = progress.next_segment("me");
     ASSERT_TRUE(segment);
@@ -192,18 +192,18 @@
 {
     batch_progress progress(make_header(), make_items(1));
     progress.start(0);
-    ASSERT_EQ(progress.begin_run(0, 2), run_break::none);
-    ASSERT_EQ(progress.take_event(0, make_event(1, "one"), std::nullopt), run_break::none);
-    EXPECT_EQ(progress.take_event(0, make_event(3, "three"), std::nullopt), run_break::wrong_event);
-    EXPECT_EQ(progress.take_event(0, make_event(1, "one"), std::nullopt), run_break::wrong_event);
+    ASSERT_EQ(progress.begin_run(0, 2), run_rejection::none);
+    ASSERT_EQ(progress.append_event(0, make_event(1, "one"), std::nullopt), run_rejection::none);
+    EXPECT_EQ(progress.append_event(0, make_event(3, "three"), std::nullopt), run_rejection::wrong_event);
+    EXPECT_EQ(progress.append_event(0, make_event(1, "one"), std::nullopt), run_rejection::wrong_event);
 }
 
 TEST(batch_progress, refuses_weights_older_than_the_batch_allows)
 {
     batch_progress progress(make_header(), make_items(1));
     progress.start(0);
-    EXPECT_EQ(progress.begin_run(0, 1), run_break::old_weights);
-    EXPECT_EQ(progress.begin_run(0, 0), run_break::old_weights);
+    EXPECT_EQ(progress.begin_run(0, 1), run_rejection::old_weights);
+    EXPECT_EQ(progress.begin_run(0, 0), run_rejection::old_weights);
 }
 
 TEST(batch_progress, lists_one_version_only_where_the_route_asks_for_one)
@@ -212,14 +212,14 @@
     header.single_version = true;
     batch_progress progress(header, make_items(1));
     progress.start(0);
-    ASSERT_EQ(progress.begin_run(0, 2), run_break::none);
-    ASSERT_EQ(progress.take_event(0, make_event(1, "one"), std::nullopt), run_break::none);
-    EXPECT_EQ(progress.take_event(0, make_event(2, "two"), 3), run_break::mixed_weights);
-    progress.restart(0);
+    ASSERT_EQ(progress.begin_run(0, 2), run_rejection::none);
+    ASSERT_EQ(progress.append_event(0, make_event(1, "one"), std::nullopt), run_rejection::none);
+    EXPECT_EQ(progress.append_event(0, make_event(2, "two"), 3), run_rejection::mixed_weights);
+    progress.discard_text(0);
     progress.release(0, {}, "r1");
     progress.start(0);
-    ASSERT_EQ(progress.begin_run(0, 3), run_break::none);
-    ASSERT_EQ(progress.take_event(0, make_event(1, "one"), std::nullopt), run_break::none);
+    ASSERT_EQ(progress.begin_run(0, 3), run_rejection::none);
+    ASSERT_EQ(progress.append_event(0, make_event(1, "one"), std::nullopt), run_rejection::none);
     progress.complete(0);
     EXPECT_EQ(progress.next_segment("me")->results[0].versions, std::vector<std::uint64_t>{3});
 }
@@ -277,7 +277,7 @@
         case 0:
         case 1:
             owner.start(place);
-            if (owner.begin_run(place, 2) == run_break::none) {
+            if (owner.begin_run(place, 2) == run_rejection::none) {
                 owner.complete(place);
             }
             break;
@@ -285,10 +285,10 @@
         case 3:
             if (const auto segment = owner.next_segment("w")) {
                 if (stored.create(*segment)) {
-                    owner.take_segment(*segment);
+                    owner.apply_segment(*segment);
                 }
                 else {
-                    owner.take_segment(stored.segments.at(segment->first));
+                    owner.apply_segment(stored.segments.at(segment->first));
                 }
                 owner.finish_write();
             }
