--- a/src/gateway/batch.cpp
+++ b/src/gateway/batch.cpp
@@ -98,7 +98,7 @@
             {"model", header.model},
             {"owner", header.owner_vm},
             {"incarnation", header.owner_incarnation},
-            {"least_version", header.least_version},
+            {"least_version", header.min_version},
             {"step", header.step},
             {"total", header.total},
             {"wanted_groups", header.wanted_groups},
@@ -122,7 +122,7 @@
             header.model = from.at("model").get<std::string>();
             header.owner_vm = from.at("owner").get<std::string>();
             header.owner_incarnation = from.at("incarnation").get<std::uint64_t>();
-            header.least_version = from.at("least_version").get<std::uint64_t>();
+            header.min_version = from.at("least_version").get<std::uint64_t>();
             header.step = from.at("step").get<std::uint64_t>();
             header.total = from.at("total").get<std::size_t>();
             header.wanted_groups = from.at("wanted_groups").get<std::size_t>();
--- a/src/gateway/batch.hpp
+++ b/src/gateway/batch.hpp
@@ -47,7 +47,7 @@
     std::string model;
     std::string owner_vm; ///< of the gateway that runs it while it lives
     std::uint64_t owner_incarnation = 0;
-    std::uint64_t least_version = 0; ///< the oldest weights that may generate its tokens
+    std::uint64_t min_version = 0; ///< the oldest weights that may generate its tokens
     std::uint64_t step = 0;
     std::size_t total = 0;
     std::size_t wanted_groups = 0;
--- a/src/gateway/batch_progress.cpp
+++ b/src/gateway/batch_progress.cpp
@@ -9,7 +9,7 @@
     : header_(std::move(header))
 {
     for (auto& item : items) {
-        places_[item.id] = items_.size();
+        index_by_id_[item.id] = items_.size();
         ++open_in_group_[item.group];
         items_.push_back({std::move(item)});
     }
@@ -38,8 +38,8 @@
     }
     published_ += segment.results.size();
     for (const auto& published : segment.results) {
-        const auto found = places_.find(published.id);
-        if (found == places_.end()) {
+        const auto found = index_by_id_.find(published.id);
+        if (found == index_by_id_.end()) {
             continue;
         }
         auto& entry = items_[found->second];
@@ -57,14 +57,14 @@
     writing_ = false;
 }
 
-run_rejection batch_progress::begin_run(std::size_t place, std::uint64_t version)
+run_rejection batch_progress::begin_run(std::size_t index, std::uint64_t version)
 {
-    auto& entry = items_[place];
+    auto& entry = items_[index];
     // Another owner may have listed the item while this run was being opened; a position never changes.
     if (entry.state != work_state::running) {
         return run_rejection::not_running;
     }
-    if (version < header_.least_version) {
+    if (version < header_.min_version) {
         return run_rejection::old_weights;
     }
     const bool mixes = !entry.versions.empty() && !entry.versions.contains(version);
@@ -75,17 +75,17 @@
     return run_rejection::none;
 }
 
-run_rejection batch_progress::append_event(std::size_t place, const net::stream_event& event,
+run_rejection batch_progress::append_event(std::size_t index, const net::stream_event& event,
                                            std::optional<std::uint64_t> new_version)
 {
-    auto& entry = items_[place];
+    auto& entry = items_[index];
     if (event.id && entry.last_event && *event.id != *entry.last_event + 1) {
         return run_rejection::wrong_event;
     }
     if (new_version) {
         entry.current_version = *new_version;
     }
-    if (entry.current_version < header_.least_version) {
+    if (entry.current_version < header_.min_version) {
         return run_rejection::old_weights;
     }
     if (header_.single_version && !entry.versions.empty() &&
@@ -100,9 +100,9 @@
     return run_rejection::none;
 }
 
-void batch_progress::start(std::size_t place)
+void batch_progress::start(std::size_t index)
 {
-    auto& entry = items_[place];
+    auto& entry = items_[index];
     if (entry.state == work_state::waiting) {
         entry.state = work_state::running;
         ++entry.runs;
@@ -112,8 +112,9 @@
 // Texts made under weights that are too old for the batch are of no use.
 void batch_progress::restore_text(const item_text& text)
 {
-    const auto found = places_.find(text.id);
-    if (found == places_.end() || text.versions.empty() || *text.versions.begin() < header_.least_version) {
+    const auto found = index_by_id_.find(text.id);
+    if (found == index_by_id_.end() || text.versions.empty() ||
+        *text.versions.begin() < header_.min_version) {
         return;
     }
     auto& entry = items_[found->second];
@@ -131,9 +132,9 @@
     }
 }
 
-std::optional<item_text> batch_progress::text_of(std::size_t place) const
+std::optional<item_text> batch_progress::text_of(std::size_t index) const
 {
-    const auto& entry = items_[place];
+    const auto& entry = items_[index];
     const bool made = entry.events > 0 && entry.state != work_state::published;
     if (!made || (entry.state == work_state::finished && entry.result.state == item_state::terminated)) {
         return std::nullopt;
@@ -144,18 +145,18 @@
                      entry.versions, finished || entry.state == work_state::scoring};
 }
 
-void batch_progress::discard_text(std::size_t place)
+void batch_progress::discard_text(std::size_t index)
 {
-    auto& entry = items_[place];
+    auto& entry = items_[index];
     entry.text.clear();
     entry.events = 0;
     entry.last_event.reset();
     entry.versions.clear();
 }
 
-void batch_progress::finish(std::size_t place, item_result result)
+void batch_progress::finish(std::size_t index, item_result result)
 {
-    auto& entry = items_[place];
+    auto& entry = items_[index];
     if (entry.state == work_state::published || entry.state == work_state::finished) {
         return;
     }
@@ -165,27 +166,27 @@
     ++finished_;
 }
 
-void batch_progress::complete(std::size_t place)
+void batch_progress::complete(std::size_t index)
 {
-    auto& entry = items_[place];
+    auto& entry = items_[index];
     if (entry.item.scoring && entry.state == work_state::running) {
         entry.state = work_state::scoring;
         return;
     }
-    finish_completed(place, {});
+    finish_completed(index, {});
 }
 
-void batch_progress::set_score(std::size_t place, const std::string& score)
+void batch_progress::set_score(std::size_t index, const std::string& score)
 {
-    if (items_[place].state == work_state::scoring) {
-        finish_completed(place, score);
+    if (items_[index].state == work_state::scoring) {
+        finish_completed(index, score);
     }
 }
 
-void batch_progress::finish_completed(std::size_t place, const std::string& score)
+void batch_progress::finish_completed(std::size_t index, const std::string& score)
 {
-    auto& entry = items_[place];
-    finish(place, {entry.item.id,
+    auto& entry = items_[index];
+    finish(index, {entry.item.id,
                    item_state::completed,
                    std::move(entry.text),
                    {entry.versions.begin(), entry.versions.end()},
@@ -193,15 +194,15 @@
     entry.text.clear();
 }
 
-void batch_progress::terminate(std::size_t place)
+void batch_progress::terminate(std::size_t index)
 {
-    finish(place, {items_[place].item.id, item_state::terminated, {}, {}, {}});
-    items_[place].text.clear();
+    finish(index, {items_[index].item.id, item_state::terminated, {}, {}, {}});
+    items_[index].text.clear();
 }
 
-void batch_progress::release(std::size_t place, time_point not_before, const std::string& avoid)
+void batch_progress::release(std::size_t index, time_point not_before, const std::string& avoid)
 {
-    auto& entry = items_[place];
+    auto& entry = items_[index];
     if (entry.state == work_state::running) {
         entry.state = work_state::waiting;
         entry.not_before = not_before;
@@ -209,10 +210,10 @@
     }
 }
 
-bool batch_progress::fail_attempt(std::size_t place)
+bool batch_progress::fail_attempt(std::size_t index)
 {
-    discard_text(place);
-    return ++items_[place].failures >= header_.attempts;
+    discard_text(index);
+    return ++items_[index].failures >= header_.attempts;
 }
 
 std::optional<result_segment> batch_progress::next_segment(const std::string& writer)
@@ -240,9 +241,9 @@
     return segment;
 }
 
-std::size_t batch_progress::open_in_group(std::size_t place) const
+std::size_t batch_progress::open_in_group(std::size_t index) const
 {
-    return open_in_group_.at(items_[place].item.group);
+    return open_in_group_.at(items_[index].item.group);
 }
 
 bool batch_progress::has_complete_group() const
--- a/src/gateway/batch_progress.hpp
+++ b/src/gateway/batch_progress.hpp
@@ -60,25 +60,25 @@
     /// What the log holds at the next position, whoever wrote it. Items listed by others are finished.
     void apply_segment(const result_segment& segment);
     /// A waiting item is given to a replica.
-    void start(std::size_t place);
+    void start(std::size_t index);
     /// A run began under this version of the weights, behind what is there already.
-    run_rejection begin_run(std::size_t place, std::uint64_t version);
-    run_rejection append_event(std::size_t place, const net::stream_event& event,
+    run_rejection begin_run(std::size_t index, std::uint64_t version);
+    run_rejection append_event(std::size_t index, const net::stream_event& event,
                                std::optional<std::uint64_t> new_version);
     /// The text that an earlier owner made of an item that has none here.
     void restore_text(const item_text& text);
     /// Drops the text, which a run cannot continue.
-    void discard_text(std::size_t place);
+    void discard_text(std::size_t index);
     /// The run is over and its text is whole. The item is finished, or waits for its score.
-    void complete(std::size_t place);
+    void complete(std::size_t index);
     /// The score of an item whose text is whole.
-    void set_score(std::size_t place, const std::string& score);
+    void set_score(std::size_t index, const std::string& score);
     /// The item can never be done, or may be given up.
-    void terminate(std::size_t place);
+    void terminate(std::size_t index);
     /// The run ended early; the item goes on, or begins, elsewhere.
-    void release(std::size_t place, time_point not_before, const std::string& avoid);
+    void release(std::size_t index, time_point not_before, const std::string& avoid);
     /// An answer that counts as a failed attempt; true where it was the last that the route allows.
-    bool fail_attempt(std::size_t place);
+    bool fail_attempt(std::size_t index);
     /// The segment to write next: results that are finished and not listed. None while one is being written.
     std::optional<result_segment> next_segment(const std::string& writer);
     void finish_write() { writing_ = false; }
@@ -93,9 +93,9 @@
     /// Finished results that make a group whole, so that the trainer should hear of them at once.
     bool has_complete_group() const;
     /// Items of the same group that are neither finished nor listed, this one with them.
-    std::size_t open_in_group(std::size_t place) const;
+    std::size_t open_in_group(std::size_t index) const;
     /// What was made of an item that is not listed; none where nothing was.
-    std::optional<item_text> text_of(std::size_t place) const;
+    std::optional<item_text> text_of(std::size_t index) const;
     /// Waiting items in the order in which they are to run: carried-over groups stand first, the longest of a
     /// group's items before the shorter ones.
     const std::vector<std::size_t>& order() const { return order_; }
@@ -104,15 +104,15 @@
     batch_header header_;
     std::vector<item_progress> items_;
     std::vector<std::size_t> order_;
-    std::map<std::string, std::size_t> places_;
+    std::map<std::string, std::size_t> index_by_id_;
     std::map<std::string, std::size_t>
         open_in_group_; ///< items of a group that are neither finished nor listed
     std::size_t published_ = 0;
     std::size_t finished_ = 0;
     bool writing_ = false;
 
-    void finish(std::size_t place, item_result result);
-    void finish_completed(std::size_t place, const std::string& score);
+    void finish(std::size_t index, item_result result);
+    void finish_completed(std::size_t index, const std::string& score);
     void close_in_group(const item_progress& entry);
 };
 
--- a/src/gateway/batch_runner.cpp
+++ b/src/gateway/batch_runner.cpp
@@ -74,7 +74,7 @@
         }
         return;
     }
-    if (found != active_.end() && found->second && !found->second->accepted) {
+    if (found != active_.end() && found->second && !found->second->stored) {
         confirm_speculative(found->second, header);
     }
     if (!active_.contains(header.id) && !finished_.contains(header.id) && owned_here(header)) {
@@ -90,19 +90,19 @@
     if (!starts_batches_ || active_.contains(header.id) || finished_.contains(header.id)) {
         return;
     }
-    const auto batch = std::make_shared<run>(loop_, store_, header, std::move(items));
+    const auto batch = std::make_shared<batch_run>(loop_, store_, header, std::move(items));
     batch->expires_at = header.accepted + header.max_age;
-    batch->accepted = false;
+    batch->stored = false;
     active_[header.id] = batch;
     observe::log(observe::log_level::info, "batch_run_ahead",
                  {{"batch", header.id}, {"items", static_cast<std::int64_t>(header.total)}});
     net::start(loop_, run_until_done(batch));
 }
 
-void batch_runner::confirm_speculative(const run_ref& batch, const batch_header& header)
+void batch_runner::confirm_speculative(const batch_run_ref& batch, const batch_header& header)
 {
     if (header.owner_vm == fleet_.self() && header.owner_incarnation == fleet_.incarnation()) {
-        batch->accepted = true;
+        batch->stored = true;
         batch->changed.notify();
         return;
     }
@@ -112,7 +112,7 @@
 void batch_runner::drop_speculative(const std::string& batch)
 {
     const auto found = active_.find(batch);
-    if (found != active_.end() && found->second && !found->second->accepted) {
+    if (found != active_.end() && found->second && !found->second->stored) {
         const auto held = found->second;
         end(held, "it was not accepted");
     }
@@ -138,7 +138,7 @@
                   {"step", static_cast<std::int64_t>(header.step)},
                   {"items", static_cast<std::int64_t>(header.total)},
                   {"accepted_by", header.owner_vm},
-                  {"least_version", static_cast<std::int64_t>(header.least_version)}});
+                  {"least_version", static_cast<std::int64_t>(header.min_version)}});
     net::start(loop_, load_and_run(header));
 }
 
@@ -153,7 +153,7 @@
     co_return co_await read_items(store_, header);
 }
 
-net::task<bool> batch_runner::load_results(run& batch)
+net::task<bool> batch_runner::load_results(batch_run& batch)
 {
     const auto page = co_await read_segments(store_, batch.progress.header().id, {});
     if (!ok(page)) {
@@ -166,7 +166,7 @@
 }
 
 // What an earlier owner kept of the texts. Without it the items are made from their start.
-net::task<void> batch_runner::load_texts(run_ref batch)
+net::task<void> batch_runner::load_texts(batch_run_ref batch)
 {
     const auto kept = co_await batch->texts.kept();
     std::size_t events = 0;
@@ -180,9 +180,9 @@
                  {{"batch", batch->progress.header().id},
                   {"events", static_cast<std::int64_t>(events)},
                   {"outcome", ok(kept) ? std::string("read") : describe(failure(kept))}});
-    for (std::size_t place = 0; place < batch->progress.items().size(); ++place) {
-        if (batch->progress.items()[place].state == work_state::scoring) {
-            net::start(loop_, score_item(batch, place));
+    for (std::size_t index = 0; index < batch->progress.items().size(); ++index) {
+        if (batch->progress.items()[index].state == work_state::scoring) {
+            net::start(loop_, score_item(batch, index));
         }
     }
 }
@@ -190,20 +190,20 @@
 // Failure: the owner dies while long items run, and its successor makes each of them from its start: a step
 // that was nearly whole takes its whole time again and its trainer falls behind for good. What the owner has
 // made is kept in the store, so the successor loses about the time between two writes.
-void batch_runner::keep_texts(const run_ref& batch)
+void batch_runner::keep_texts(const batch_run_ref& batch)
 {
     const auto now = steady::now();
-    const bool due = std::any_of(batch->streams.begin(), batch->streams.end(), [&](const auto& entry) {
-        const auto& open = entry.second;
-        return open->heard && now - std::max(open->began, batch->texts_kept) >= keep_texts_every;
+    const bool due = std::any_of(batch->item_runs.begin(), batch->item_runs.end(), [&](const auto& entry) {
+        const auto& run = entry.second;
+        return run->received_event && now - std::max(run->began, batch->texts_kept) >= keep_texts_every;
     });
-    if (due && batch->accepted && !batch->keeping_texts) {
+    if (due && batch->stored && !batch->keeping_texts) {
         batch->keeping_texts = true;
         net::start(loop_, write_texts(batch));
     }
 }
 
-net::task<void> batch_runner::write_texts(run_ref batch)
+net::task<void> batch_runner::write_texts(batch_run_ref batch)
 {
     const auto made = steady::now();
     auto texts = texts_to_keep(batch->progress);
@@ -232,7 +232,7 @@
         }
         items = co_await load_items(header);
     }
-    const auto batch = std::make_shared<run>(loop_, store_, header, std::move(value(items)));
+    const auto batch = std::make_shared<batch_run>(loop_, store_, header, std::move(value(items)));
     batch->expires_at = header.accepted + header.max_age;
     bool loaded = fresh;
     while (!loaded) {
@@ -253,7 +253,7 @@
     co_await run_until_done(batch);
 }
 
-net::task<void> batch_runner::run_until_done(run_ref batch)
+net::task<void> batch_runner::run_until_done(batch_run_ref batch)
 {
     while (!batch->ended) {
         place_items();
@@ -269,7 +269,7 @@
         const bool due =
             progress.has_complete_group() || whole || now - batch->first_unpublished >= publish_delay;
         const bool rested = now - batch->last_publish >= publish_interval || whole;
-        if (batch->accepted && !batch->publishing && progress.unpublished_results() > 0 && due && rested) {
+        if (batch->stored && !batch->publishing && progress.unpublished_results() > 0 && due && rested) {
             batch->publishing = true;
             batch->last_publish = now;
             net::start(loop_, publish_results(batch));
@@ -283,7 +283,7 @@
     }
 }
 
-void batch_runner::end(const run_ref& batch, const char* why)
+void batch_runner::end(const batch_run_ref& batch, const char* why)
 {
     if (batch->ended) {
         return;
@@ -312,24 +312,24 @@
 }
 
 // An item older than its route allows may be given up; the trainer hears of it rather than wait for ever.
-void batch_runner::expire_items(run& batch)
+void batch_runner::expire_items(batch_run& batch)
 {
     if (batch.progress.header().max_age.count() <= 0 || std::chrono::system_clock::now() < batch.expires_at) {
         return;
     }
-    for (std::size_t place = 0; place < batch.progress.items().size(); ++place) {
-        const auto state = batch.progress.items()[place].state;
+    for (std::size_t index = 0; index < batch.progress.items().size(); ++index) {
+        const auto state = batch.progress.items()[index].state;
         if (state != work_state::finished && state != work_state::published) {
             observe::log(
                 observe::log_level::warning, "item_given_up",
-                {{"request", batch.progress.items()[place].item.id}, {"batch", batch.progress.header().id}});
-            batch.progress.terminate(place);
+                {{"request", batch.progress.items()[index].item.id}, {"batch", batch.progress.header().id}});
+            batch.progress.terminate(index);
         }
     }
     batch.cancel_work();
 }
 
-net::task<void> batch_runner::publish_results(run_ref batch)
+net::task<void> batch_runner::publish_results(batch_run_ref batch)
 {
     auto& progress = batch->progress;
     const auto writer = fleet_.self() + "/" + std::to_string(fleet_.incarnation());
@@ -347,8 +347,8 @@
         }
         else if (failure(written).code == error_code::conflict) {
             // Another owner, or a write of this one that was thought lost, has filled the position.
-            const auto standing = nlohmann::json::parse(failure(written).current, nullptr, false);
-            const auto parsed = segment_from_json(name, standing);
+            const auto existing = nlohmann::json::parse(failure(written).current, nullptr, false);
+            const auto parsed = segment_from_json(name, existing);
             if (ok(parsed)) {
                 progress.apply_segment(value(parsed));
                 observe::log(
--- a/src/gateway/batch_runner.hpp
+++ b/src/gateway/batch_runner.hpp
@@ -52,9 +52,9 @@
     bool runs(const std::string& batch) const { return active_.contains(batch); }
 
 private:
-    struct run;
-    using run_ref = std::shared_ptr<run>;
-    struct stream;
+    struct batch_run;
+    using batch_run_ref = std::shared_ptr<batch_run>;
+    struct item_run;
 
     net::loop& loop_;
     object_store& store_;
@@ -65,7 +65,7 @@
     observe::metrics& counts_;
     std::map<std::string, batch_header> headers_;
     std::map<std::string, std::vector<batch_item>> cached_items_;
-    std::map<std::string, run_ref> active_;
+    std::map<std::string, batch_run_ref> active_;
     std::set<std::string> finished_; ///< all is listed, and their trainers have not ended them yet
     time_point started_;
     bool starts_batches_ = true;
@@ -73,27 +73,27 @@
 
     bool owned_here(const batch_header& header) const;
     void start(const batch_header& header);
-    void confirm_speculative(const run_ref& batch, const batch_header& header);
+    void confirm_speculative(const batch_run_ref& batch, const batch_header& header);
     net::task<void> load_and_run(batch_header header);
     net::task_of<std::vector<batch_item>> load_items(const batch_header& header);
-    net::task<bool> load_results(run& batch);
-    net::task<void> load_texts(run_ref batch);
-    void keep_texts(const run_ref& batch);
-    net::task<void> write_texts(run_ref batch);
-    net::task<void> run_until_done(run_ref batch);
+    net::task<bool> load_results(batch_run& batch);
+    net::task<void> load_texts(batch_run_ref batch);
+    void keep_texts(const batch_run_ref& batch);
+    net::task<void> write_texts(batch_run_ref batch);
+    net::task<void> run_until_done(batch_run_ref batch);
     void place_items();
-    bool place_items_of(const run_ref& batch, const std::vector<target_ref>& engines);
-    net::task<void> run_item(run_ref batch, std::size_t place, target_ref at);
-    net::task<void> read_answer(run_ref batch, std::size_t place, target_ref at,
-                                std::shared_ptr<stream> open);
-    net::task<bool> read_events(run_ref batch, std::size_t place, std::shared_ptr<stream> open);
-    net::task<void> score_item(run_ref batch, std::size_t place);
-    void handle_failure(run& batch, std::size_t place, target_ref at, int status, bool not_run);
-    void log_completed(const batch_progress& progress, std::size_t place, const stream& open) const;
-    net::task<void> publish_results(run_ref batch);
-    void expire_items(run& batch);
-    void move_stragglers(run& batch);
-    void end(const run_ref& batch, const char* why);
+    bool place_items_of(const batch_run_ref& batch, const std::vector<target_ref>& engines);
+    net::task<void> run_item(batch_run_ref batch, std::size_t index, target_ref engine);
+    net::task<void> read_answer(batch_run_ref batch, std::size_t index, target_ref engine,
+                                std::shared_ptr<item_run> run);
+    net::task<bool> read_events(batch_run_ref batch, std::size_t index, std::shared_ptr<item_run> run);
+    net::task<void> score_item(batch_run_ref batch, std::size_t index);
+    void handle_failure(batch_run& batch, std::size_t index, target_ref engine, int status, bool not_run);
+    void log_completed(const batch_progress& progress, std::size_t index, const item_run& run) const;
+    net::task<void> publish_results(batch_run_ref batch);
+    void expire_items(batch_run& batch);
+    void move_stragglers(batch_run& batch);
+    void end(const batch_run_ref& batch, const char* why);
     bool has_waiting_items() const;
 };
 
--- a/src/gateway/batch_runner_items.cpp
+++ b/src/gateway/batch_runner_items.cpp
@@ -40,65 +40,66 @@
 
 } // namespace
 
-net::task<void> batch_runner::run_item(run_ref batch, std::size_t place, target_ref at)
+net::task<void> batch_runner::run_item(batch_run_ref batch, std::size_t index, target_ref engine)
 {
-    const auto open = std::make_shared<stream>();
-    open->at = at;
-    open->began = steady::now();
-    open->last_event = open->began;
-    batch->streams[place] = open;
+    const auto run = std::make_shared<item_run>();
+    run->engine = engine;
+    run->began = steady::now();
+    run->last_event = run->began;
+    batch->item_runs[index] = run;
     observe::span hop(observe::trace_of(batch->progress.header().id), "item_run");
-    hop.note("request_id", batch->progress.items()[place].item.id);
-    hop.note("replica", at->info.lifetime());
-    auto taken = co_await at->pool.take(steady::now() + connect_time);
+    hop.note("request_id", batch->progress.items()[index].item.id);
+    hop.note("replica", engine->info.lifetime());
+    auto taken = co_await engine->pool.take(steady::now() + connect_time);
     if (auto* connection = std::get_if<std::shared_ptr<net::http_connection>>(&taken)) {
-        open->connection = *connection;
-        if (!batch->ended && batch->progress.items()[place].state == work_state::running) {
-            co_await read_answer(batch, place, at, open);
+        run->connection = *connection;
+        if (!batch->ended && batch->progress.items()[index].state == work_state::running) {
+            co_await read_answer(batch, index, engine, run);
         }
     }
     else {
-        at->back_off_until = steady::now() + broken_back_off;
-        batch->progress.release(place, {}, at->info.lifetime());
+        engine->back_off_until = steady::now() + broken_back_off;
+        batch->progress.release(index, {}, engine->info.lifetime());
     }
-    --at->streams;
-    batch->streams.erase(place);
+    --engine->streams;
+    batch->item_runs.erase(index);
     batch->changed.notify();
 }
 
-void batch_runner::handle_failure(run& batch, std::size_t place, target_ref at, int status, bool not_run)
+void batch_runner::handle_failure(batch_run& batch, std::size_t index, target_ref engine, int status,
+                                  bool not_run)
 {
     const auto now = steady::now();
-    const auto& item = batch.progress.items()[place].item;
+    const auto& item = batch.progress.items()[index].item;
     if (not_run) {
-        at->back_off_until = now + full_back_off;
-        batch.progress.release(place, {}, at->info.lifetime());
+        engine->back_off_until = now + full_back_off;
+        batch.progress.release(index, {}, engine->info.lifetime());
         return;
     }
     observe::log(observe::log_level::warning, "item_failed",
                  {{"request", item.id},
                   {"batch", batch.progress.header().id},
-                  {"replica", at->info.lifetime()},
+                  {"replica", engine->info.lifetime()},
                   {"status", std::int64_t{status}}});
     constexpr int never = 422;
     constexpr int attempt_failed = 500;
-    if (status == never || (status == attempt_failed && batch.progress.fail_attempt(place))) {
-        batch.progress.terminate(place);
+    if (status == never || (status == attempt_failed && batch.progress.fail_attempt(index))) {
+        batch.progress.terminate(index);
         return;
     }
-    batch.progress.release(place, now + full_back_off, at->info.lifetime());
+    batch.progress.release(index, now + full_back_off, engine->info.lifetime());
 }
 
-void batch_runner::log_completed(const batch_progress& progress, std::size_t place, const stream& open) const
+void batch_runner::log_completed(const batch_progress& progress, std::size_t index, const item_run& run) const
 {
-    const auto& entry = progress.items()[place];
-    const auto run_ms = std::chrono::duration_cast<milliseconds>(steady::now() - open.began);
+    const auto& entry = progress.items()[index];
+    const auto run_ms = std::chrono::duration_cast<milliseconds>(steady::now() - run.began);
     const auto age_ms = std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now() -
                                                                  progress.header().accepted);
     observe::log(observe::log_level::info, "item_completed",
                  {{"request", entry.item.id},
                   {"batch", progress.header().id},
-                  {"replica", open.at->info.lifetime()},
+                  {"replica", run.engine->info.lifetime()},
                   {"runs", std::int64_t{entry.runs}},
                   {"events", static_cast<std::int64_t>(entry.events)},
                   {"run_ms", std::int64_t{run_ms.count()}},
@@ -108,30 +109,30 @@
 
 // The calls of a group that waits for nothing else go first: a trainer takes whole groups. A call that fails
 // for good ends its item; the trainer hears of it at once instead of waiting for a score that never comes.
-net::task<void> batch_runner::score_item(run_ref batch, std::size_t place)
+net::task<void> batch_runner::score_item(batch_run_ref batch, std::size_t index)
 {
     auto& progress = batch->progress;
-    const auto& entry = progress.items()[place];
+    const auto& entry = progress.items()[index];
     const auto began = steady::now();
     int internal_errors = 0;
     int calls = 0;
     while (!batch->ended && entry.state == work_state::scoring) {
         const auto ticket = std::make_shared<call_ticket>();
-        batch->scoring_calls[place] = ticket;
-        const bool last = progress.open_in_group(place) <= 1;
+        batch->scoring_calls[index] = ticket;
+        const bool last = progress.open_in_group(index) <= 1;
         const auto urgency = last ? policy::priority::gate : policy::priority::member;
         const auto outcome = co_await scorer_.score(*entry.item.scoring, urgency, ticket);
-        batch->scoring_calls.erase(place);
+        batch->scoring_calls.erase(index);
         ++calls;
         internal_errors += outcome.internal_errors;
         const bool scored = ok(outcome.score);
         const auto most_errors = std::max(outcome.most_internal_errors, progress.header().attempts);
-        const bool hopeless = !scored && internal_errors >= most_errors;
+        const bool permanent = !scored && internal_errors >= most_errors;
         if (scored) {
-            progress.set_score(place, value(outcome.score));
+            progress.set_score(index, value(outcome.score));
         }
-        else if (hopeless) {
-            progress.terminate(place);
+        else if (permanent) {
+            progress.terminate(index);
         }
         const auto took = std::chrono::duration_cast<milliseconds>(steady::now() - began);
         observe::log(
@@ -143,8 +144,8 @@
              {"internal_errors", std::int64_t{internal_errors}},
              {"took_ms", std::int64_t{took.count()}},
              {"outcome", scored ? std::string("scored")
-                                : (hopeless ? "given up: " : "") + describe(failure(outcome.score))}});
-        if (!scored && !hopeless) {
+                                : (permanent ? "given up: " : "") + describe(failure(outcome.score))}});
+        if (!scored && !permanent) {
             co_await net::sleep_for(loop_, score_pause);
         }
     }
@@ -153,18 +154,18 @@
 
 // The text of an item may be made by several runs, each asked to go on behind the event that stands here.
 // What does not continue it is dropped with its connection.
-net::task<void> batch_runner::read_answer(run_ref batch, std::size_t place, target_ref at,
-                                          std::shared_ptr<stream> open)
+net::task<void> batch_runner::read_answer(batch_run_ref batch, std::size_t index, target_ref engine,
+                                          std::shared_ptr<item_run> run)
 {
     auto& progress = batch->progress;
-    const auto lifetime = at->info.lifetime();
-    const auto& item = progress.items()[place].item;
+    const auto instance_id = engine->info.lifetime();
+    const auto& item = progress.items()[index].item;
     attempt_request sent;
     sent.attempt_id = item.id;
-    sent.replica_id = at->info.id;
-    sent.resume_after = progress.items()[place].last_event;
+    sent.replica_id = engine->info.id;
+    sent.resume_after = progress.items()[index].last_event;
     const auto request = protocol_.to_replica(item_request(progress.header(), item), sent);
-    auto& connection = *open->connection;
+    auto& connection = *run->connection;
     const auto written = co_await connection.send(request, steady::now() + connect_time);
     net::http_result<net::response_head> read = net::http_failure{};
     if (std::holds_alternative<done>(written)) {
@@ -173,79 +174,80 @@
     const auto* head = std::get_if<net::response_head>(&read);
     if (head == nullptr) {
         if (!connection.reused()) {
-            at->back_off_until = steady::now() + broken_back_off;
+            engine->back_off_until = steady::now() + broken_back_off;
         }
-        progress.release(place, {}, lifetime);
+        progress.release(index, {}, instance_id);
         co_return;
     }
     const auto marks = protocol_.marks(head->status, head->fields, sent.attempt_id);
     if (marks.weights_version > 0) {
-        at->saw_version(progress.header().model, marks.weights_version);
+        engine->saw_version(progress.header().model, marks.weights_version);
     }
     const auto idle = head->keep_alive ? net::idle_time_of(head->fields, seconds(4)) : duration{0};
     if (head->status != 200 || marks.not_run) {
         const auto status = head->status;
         const auto rest = co_await connection.read_body(64U << 10U, steady::now() + connect_time);
         if (std::holds_alternative<std::string>(rest)) {
-            at->pool.give_back(open->connection, idle);
+            engine->pool.give_back(run->connection, idle);
         }
-        handle_failure(*batch, place, at, status, marks.not_run);
+        handle_failure(*batch, index, engine, status, marks.not_run);
         co_return;
     }
     const bool sound = marks.echoes_attempt && !marks.authentication_code.empty();
-    const auto began = sound ? progress.begin_run(place, marks.weights_version) : run_rejection::wrong_event;
+    const auto began = sound ? progress.begin_run(index, marks.weights_version) : run_rejection::wrong_event;
     if (began != run_rejection::none) {
         if (began == run_rejection::mixed_weights) {
-            progress.discard_text(place);
+            progress.discard_text(index);
         }
         connection.close();
-        progress.release(place, steady::now() + full_back_off, lifetime);
+        progress.release(index, steady::now() + full_back_off, instance_id);
         co_return;
     }
-    const bool whole = co_await read_events(batch, place, open);
+    const bool whole = co_await read_events(batch, index, run);
     if (whole) {
-        at->pool.give_back(open->connection, idle);
+        engine->pool.give_back(run->connection, idle);
         co_return;
     }
     connection.close();
-    progress.release(place, {}, lifetime);
+    progress.release(index, {}, instance_id);
 }
 
 // True where the text is whole.
-net::task<bool> batch_runner::read_events(run_ref batch, std::size_t place, std::shared_ptr<stream> open)
+net::task<bool> batch_runner::read_events(batch_run_ref batch, std::size_t index,
+                                          std::shared_ptr<item_run> run)
 {
     auto& progress = batch->progress;
-    auto& connection = *open->connection;
-    const auto at = open->at;
-    const auto lifetime = at->info.lifetime();
+    auto& connection = *run->connection;
+    const auto engine = run->engine;
+    const auto instance_id = engine->info.lifetime();
     net::event_reader reader;
-    while (!batch->ended && progress.items()[place].state == work_state::running) {
-        const auto patience = open->heard ? silence : first_silence;
-        auto piece = co_await connection.read_piece(steady::now() + patience);
+    while (!batch->ended && progress.items()[index].state == work_state::running) {
+        const auto timeout = run->received_event ? silence : first_silence;
+        auto piece = co_await connection.read_piece(steady::now() + timeout);
         auto* bytes = std::get_if<net::body_piece>(&piece);
-        if (bytes == nullptr || progress.items()[place].state != work_state::running) {
+        if (bytes == nullptr || progress.items()[index].state != work_state::running) {
             break;
         }
         for (const auto& event : reader.take(bytes->bytes)) {
-            const auto broken = progress.append_event(place, event, protocol_.weights_version(event));
+            const auto broken = progress.append_event(index, event, protocol_.weights_version(event));
             if (broken != run_rejection::none) {
-                progress.discard_text(place);
-                progress.release(place, steady::now() + full_back_off, lifetime);
+                progress.discard_text(index);
+                progress.release(index, steady::now() + full_back_off, instance_id);
                 co_return false;
             }
             const auto now = steady::now();
-            if (open->heard) {
-                at->saw_gap(now - open->last_event);
+            if (run->received_event) {
+                engine->saw_gap(now - run->last_event);
             }
-            open->heard = true;
-            open->last_event = now;
+            run->received_event = true;
+            run->last_event = now;
         }
         if (bytes->last && !reader.mid_event()) {
-            at->saw_version(progress.header().model, progress.items()[place].current_version);
-            log_completed(progress, place, *open);
-            progress.complete(place);
-            if (progress.items()[place].state == work_state::scoring) {
-                net::start(loop_, score_item(batch, place));
+            engine->saw_version(progress.header().model, progress.items()[index].current_version);
+            log_completed(progress, index, *run);
+            progress.complete(index);
+            if (progress.items()[index].state == work_state::scoring) {
+                net::start(loop_, score_item(batch, index));
             }
             counts_.add("items_completed_total");
             co_return true;
--- a/src/gateway/batch_runner_placement.cpp
+++ b/src/gateway/batch_runner_placement.cpp
@@ -47,13 +47,13 @@
 // The batch that is due first goes first: its trainer stands idle until it is whole.
 void batch_runner::place_items()
 {
-    std::vector<run_ref> batches;
+    std::vector<batch_run_ref> batches;
     for (const auto& [id, batch] : active_) {
         if (batch && !batch->ended) {
             batches.push_back(batch);
         }
     }
-    std::sort(batches.begin(), batches.end(), [](const run_ref& left, const run_ref& right) {
+    std::sort(batches.begin(), batches.end(), [](const batch_run_ref& left, const batch_run_ref& right) {
         const auto& a = left->progress.header();
         const auto& b = right->progress.header();
         return a.accepted + a.result_time < b.accepted + b.result_time;
@@ -64,7 +64,7 @@
     }
 }
 
-bool batch_runner::place_items_of(const run_ref& batch, const std::vector<target_ref>& engines)
+bool batch_runner::place_items_of(const batch_run_ref& batch, const std::vector<target_ref>& engines)
 {
     const auto now = steady::now();
     auto& progress = batch->progress;
@@ -81,17 +81,17 @@
     // An engine is hardly slower with many requests than with few, so the fast ones are filled first.
     auto fast = views;
     const auto slow = slow_gap_of(engines);
-    for (std::size_t place = 0; place < engines.size(); ++place) {
-        fast[place].usable = fast[place].usable && (slow <= 0 || engines[place]->piece_gap_ms < slow);
+    for (std::size_t index = 0; index < engines.size(); ++index) {
+        fast[index].usable = fast[index].usable && (slow <= 0 || engines[index]->piece_gap_ms < slow);
     }
-    for (const auto place : progress.order()) {
-        auto& entry = progress.items()[place];
+    for (const auto index : progress.order()) {
+        auto& entry = progress.items()[index];
         if (entry.state != work_state::waiting || entry.not_before > now) {
             continue;
         }
         policy::sample_view sample;
         sample.prefix_hash = prompt_hash(entry.item);
-        sample.least_version = progress.header().least_version;
+        sample.least_version = progress.header().min_version;
         sample.avoid = entry.avoid;
         auto chosen = policy::place_sample(fast, sample);
         if (!chosen) {
@@ -107,8 +107,8 @@
         ++fast[*chosen].in_flight;
         ++views[*chosen].in_flight;
         ++engines[*chosen]->streams;
-        progress.start(place);
-        net::start(loop_, run_item(batch, place, engines[*chosen]));
+        progress.start(index);
+        net::start(loop_, run_item(batch, index, engines[*chosen]));
     }
     return true;
 }
@@ -116,9 +116,9 @@
 // Load pattern: a few engines several times slower than the rest, and a step that waits for its last items.
 // Without moving them, a long item on a slow engine takes longer than the whole step may. Only while nothing
 // waits for a place: then the places of faster engines are free.
-void batch_runner::move_stragglers(run& batch)
+void batch_runner::move_stragglers(batch_run& batch)
 {
-    if (batch.streams.empty() || has_waiting_items()) {
+    if (batch.item_runs.empty() || has_waiting_items()) {
         return;
     }
     const auto engines = targets_.of_service(batch.progress.header().service);
@@ -127,20 +127,20 @@
         return;
     }
     const auto now = steady::now();
-    for (const auto& entry : batch.streams) {
-        const auto& open = entry.second;
-        const bool slow = open->at->piece_gap_ms >= slow_from;
-        if (!slow || !open->connection || now - open->began < least_run) {
+    for (const auto& entry : batch.item_runs) {
+        const auto& run = entry.second;
+        const bool slow = run->engine->piece_gap_ms >= slow_from;
+        if (!slow || !run->connection || now - run->began < least_run) {
             continue;
         }
         const bool better = std::any_of(engines.begin(), engines.end(), [&](const target_ref& engine) {
-            return engine != open->at && engine->streams < engine->info.slots &&
+            return engine != run->engine && engine->streams < engine->info.slots &&
                    now >= engine->back_off_until && engine->piece_gap_ms > 0 &&
                    engine->piece_gap_ms < slow_from &&
-                   engine->version_of(batch.progress.header().model) >= batch.progress.header().least_version;
+                   engine->version_of(batch.progress.header().model) >= batch.progress.header().min_version;
         });
         if (better) {
-            open->connection->close();
+            run->connection->close();
             return;
         }
     }
--- a/src/gateway/batch_service.cpp
+++ b/src/gateway/batch_service.cpp
@@ -197,10 +197,10 @@
 {
     std::size_t bytes = 0;
     for (const auto& segment : segments) {
-        for (std::size_t at = 0; at < segment.results.size(); ++at) {
-            const auto& entry = segment.results[at];
+        for (std::size_t index = 0; index < segment.results.size(); ++index) {
+            const auto& entry = segment.results[index];
             const bool fits = page.results.empty() || bytes + entry.text.size() < most_page_bytes;
-            if (segment.first + at == page.first + page.results.size() && fits) {
+            if (segment.first + index == page.first + page.results.size() && fits) {
                 bytes += entry.text.size() + entry.id.size();
                 page.results.push_back(entry);
             }
@@ -263,11 +263,11 @@
     // A reader that goes on where the last answer ended needs no listing: a watch from that answer's revision
     // tells what came since, for one call of the store instead of two.
     const auto since = empty_as_of(batch, first);
-    bool told = false;
+    bool received = false;
     if (since > 0 && wait > least_wait) {
-        told = co_await add_new_results(page, batch, since, until);
+        received = co_await add_new_results(page, batch, since, until);
     }
-    if (told) {
+    if (received) {
         co_return page;
     }
     const auto listing = co_await segments_from(batch, first);
--- a/src/gateway/batch_service_speculative.cpp
+++ b/src/gateway/batch_service_speculative.cpp
@@ -81,9 +81,9 @@
         co_return false;
     }
     json question{{"id", batch}};
-    const auto told = co_await store_.ask(owner->relay_address, speculative_path, std::move(question),
-                                          steady::now() + query_timeout);
-    co_return !ok(told) || member_or_null(value(told), "runs") != json(false);
+    const auto reply = co_await store_.ask(owner->relay_address, speculative_path, std::move(question),
+                                           steady::now() + query_timeout);
+    co_return !ok(reply) || member_or_null(value(reply), "runs") != json(false);
 }
 
 // The trainer brings the batch to one gateway after the other meanwhile. They all choose the same one to run
@@ -99,16 +99,16 @@
     json question{{"id", header.id},
                   {"header", to_json(header)},
                   {"parts", to_parts(current->submission.items, most_part_bytes)}};
-    const auto told = co_await store_.ask(owner->relay_address, speculative_path, std::move(question),
-                                          steady::now() + speculation_call_timeout);
-    if (ok(told) && !current->naming) {
+    const auto reply = co_await store_.ask(owner->relay_address, speculative_path, std::move(question),
+                                           steady::now() + speculation_call_timeout);
+    if (ok(reply) && !current->naming) {
         header.owner_vm = owner->vm;
         header.owner_incarnation = owner->incarnation;
     }
-    observe::log(ok(told) ? observe::log_level::info : observe::log_level::warning, "batch_sent_ahead",
+    observe::log(ok(reply) ? observe::log_level::info : observe::log_level::warning, "batch_sent_ahead",
                  {{"batch", header.id},
                   {"to", owner->vm},
-                  {"outcome", ok(told) ? std::string("taken") : describe(failure(told))}});
+                  {"outcome", ok(reply) ? std::string("taken") : describe(failure(reply))}});
 }
 
 net::http_response batch_service::serve_speculative(const net::http_request& request)
--- a/src/gateway/batch_texts.cpp
+++ b/src/gateway/batch_texts.cpp
@@ -48,8 +48,8 @@
 std::vector<item_text> texts_to_keep(const batch_progress& progress)
 {
     std::vector<item_text> texts;
-    for (std::size_t place = 0; place < progress.items().size(); ++place) {
-        auto text = progress.text_of(place);
+    for (std::size_t index = 0; index < progress.items().size(); ++index) {
+        auto text = progress.text_of(index);
         if (text && text->events >= least_events) {
             texts.push_back(std::move(*text));
         }
@@ -103,8 +103,8 @@
     }
     // A write thought lost was done, or another owner keeps its own: the next one replaces what stands now.
     if (failure(written).code == error_code::conflict) {
-        const auto standing = co_await store_.read(text_kind, batch_);
-        revision_ = ok(standing) ? value(standing).revision : 0;
+        const auto existing = co_await store_.read(text_kind, batch_);
+        revision_ = ok(existing) ? value(existing).revision : 0;
     }
     co_return failure(written);
 }
--- a/src/gateway/internal/batch_run.hpp
+++ b/src/gateway/internal/batch_run.hpp
@@ -8,25 +8,25 @@
 namespace vanillagauge::gateway {
 
 /// An item's run at a replica, for those that must end it early.
-struct batch_runner::stream {
+struct batch_runner::item_run {
     std::shared_ptr<net::http_connection> connection;
-    target_ref at;
+    target_ref engine;
     time_point began{};
     time_point last_event{};
-    bool heard = false;
+    bool received_event = false;
 };
 
-struct batch_runner::run {
-    run(net::loop& loop, object_store& store, const batch_header& header, std::vector<batch_item> items)
+struct batch_runner::batch_run {
+    batch_run(net::loop& loop, object_store& store, const batch_header& header, std::vector<batch_item> items)
         : progress(header, std::move(items)), changed(loop), texts(store, header.id)
     {
     }
 
     batch_progress progress;
     net::signal changed;
-    std::map<std::size_t, std::shared_ptr<stream>> streams;            ///< by the item's place
+    std::map<std::size_t, std::shared_ptr<item_run>> item_runs;        ///< by the item's place
     std::map<std::size_t, std::shared_ptr<call_ticket>> scoring_calls; ///< by the item's place
-    bool accepted = true;                                              ///< the store has the batch
+    bool stored = true;                                                ///< the store has the batch
     bool ended = false;
     bool publishing = false;
     time_point last_publish{};
@@ -38,12 +38,12 @@
 
     void cancel_work()
     {
-        for (auto& [place, ticket] : scoring_calls) {
+        for (auto& [index, ticket] : scoring_calls) {
             ticket->cancel();
         }
-        for (auto& [place, open] : streams) {
-            if (open->connection) {
-                open->connection->close();
+        for (auto& [index, run] : item_runs) {
+            if (run->connection) {
+                run->connection->close();
             }
         }
     }
--- a/src/gateway/item_scorer.cpp
+++ b/src/gateway/item_scorer.cpp
@@ -50,14 +50,14 @@
     request.attempt_id = call.id;
     request.time_allowed = longest_call;
     request.arrived = steady::now();
-    const auto told = co_await calls_.make_call(chosen, std::move(request), urgency, ticket);
-    outcome.internal_errors = told.internal_errors;
+    const auto reply = co_await calls_.make_call(chosen, std::move(request), urgency, ticket);
+    outcome.internal_errors = reply.internal_errors;
     outcome.most_internal_errors = chosen.attempts;
-    if (!ok(told.response)) {
-        outcome.score = failure(told.response);
+    if (!ok(reply.response)) {
+        outcome.score = failure(reply.response);
         co_return outcome;
     }
-    const auto& response = value(told.response);
+    const auto& response = value(reply.response);
     const auto marks = protocol_.marks(response.status, response.fields, call.id);
     if (response.status >= 200 && response.status < 300 && !marks.authentication_code.empty()) {
         outcome.score = marks.authentication_code;
--- a/src/gateway/weights_keeper.cpp
+++ b/src/gateway/weights_keeper.cpp
@@ -41,7 +41,7 @@
     return std::chrono::seconds(now.tv_sec) + std::chrono::nanoseconds(now.tv_nsec);
 }
 
-net::task_of<net::http_response> exchange_with(target_ref at,
+net::task_of<net::http_response> exchange_with(target_ref engine,
                                                std::shared_ptr<net::http_connection> connection,
                                                net::http_request request, time_point until)
 {
@@ -50,7 +50,7 @@
         co_return error{error_code::unavailable, run_state::in_doubt, failed->detail};
     }
     auto& response = std::get<net::http_response>(answer);
-    at->pool.give_back(connection, net::idle_time_of(response.fields, idle_time));
+    engine->pool.give_back(connection, net::idle_time_of(response.fields, idle_time));
     co_return std::move(response);
 }
 
@@ -195,12 +195,12 @@
 
 net::task<void> weights_keeper::write_lease()
 {
-    const auto asked = steady::now();
+    const auto requested_at = steady::now();
     const auto revision = lease_.expected_version();
     const nlohmann::json lease{
         {"holder", self_},
-        {"acts_in_ms", lease_.acts_in(asked).count()},
-        {"renewal", std::chrono::duration_cast<milliseconds>(asked.time_since_epoch()).count()}};
+        {"acts_in_ms", lease_.acts_in(requested_at).count()},
+        {"renewal", std::chrono::duration_cast<milliseconds>(requested_at.time_since_epoch()).count()}};
     result<stored_object> written = error{};
     if (revision == 0) {
         written = co_await store_.create(lease_kind, lease_name, lease);
@@ -209,8 +209,8 @@
         written = co_await store_.replace(lease_kind, lease_name, lease, revision);
     }
     if (ok(written)) {
-        const bool taken = !lease_.holds(asked);
-        lease_.on_written(value(written).revision, asked);
+        const bool taken = !lease_.holds(requested_at);
+        lease_.on_written(value(written).revision, requested_at);
         if (taken) {
             observe::log(observe::log_level::info, "lease_taken",
                          {{"version", static_cast<std::int64_t>(value(written).revision)},
@@ -220,7 +220,7 @@
     else if (failure(written).code == error_code::conflict ||
              failure(written).code == error_code::not_found) {
         // Who waits for the lease finds that its holder has renewed it; only a holder loses it.
-        const bool held = lease_.holds(asked);
+        const bool held = lease_.holds(requested_at);
         observe::log(held ? observe::log_level::warning : observe::log_level::info,
                      held ? "lease_lost" : "lease_not_taken", {{"why", describe(failure(written))}});
         lease_.on_conflict();
@@ -277,13 +277,13 @@
     }
     for (const auto& [service, versions] : newest) {
         std::vector<policy::load_engine> views;
-        for (const auto& at : engines[service]) {
+        for (const auto& engine : engines[service]) {
             policy::load_engine view;
-            view.id = at->info.lifetime();
+            view.id = engine->info.lifetime();
             for (const auto& [model, version] : versions) {
-                view.versions[model] = at->version_of(model);
+                view.versions[model] = engine->version_of(model);
             }
-            view.in_flight = at->streams;
+            view.in_flight = engine->streams;
             view.loading = loading_.contains(view.id);
             view.resting = now < resting_until_[view.id];
             views.push_back(std::move(view));
@@ -295,26 +295,26 @@
     }
 }
 
-net::task_of<engine_report> weights_keeper::ask_report(target_ref at)
+net::task_of<engine_report> weights_keeper::ask_report(target_ref engine)
 {
     const auto until = steady::now() + call_time;
-    auto taken = co_await at->pool.take(until);
+    auto taken = co_await engine->pool.take(until);
     if (const auto* failed = std::get_if<net::http_failure>(&taken)) {
         co_return error{error_code::unavailable, run_state::not_run, failed->detail};
     }
     const auto connection = std::get<std::shared_ptr<net::http_connection>>(taken);
-    const auto request = protocol_.report_request(at->info);
-    const auto response = co_await exchange_with(at, connection, request, until);
+    const auto request = protocol_.report_request(engine->info);
+    const auto response = co_await exchange_with(engine, connection, request, until);
     if (!ok(response)) {
         co_return failure(response);
     }
     co_return protocol_.parse_report(value(response));
 }
 
-net::task_of<order_outcome> weights_keeper::send_order(target_ref at, load_order order)
+net::task_of<order_outcome> weights_keeper::send_order(target_ref engine, load_order order)
 {
     const auto until = steady::now() + call_time;
-    auto taken = co_await at->pool.take(until);
+    auto taken = co_await engine->pool.take(until);
     if (const auto* failed = std::get_if<net::http_failure>(&taken)) {
         co_return error{error_code::unavailable, run_state::not_run, failed->detail};
     }
@@ -322,12 +322,12 @@
     // The wait for the connection may have been longer than the lease.
     const auto number = was_suspended() || stopped_ ? std::nullopt : lease_.may_order(steady::now());
     if (!number) {
-        at->pool.give_back(connection, seconds(1));
+        engine->pool.give_back(connection, seconds(1));
         co_return error{error_code::conflict, run_state::not_run, "the lease has ended"};
     }
     order.fencing = *number;
-    const auto request = protocol_.order_request(at->info, order);
-    const auto response = co_await exchange_with(at, connection, request, until);
+    const auto request = protocol_.order_request(engine->info, order);
+    const auto response = co_await exchange_with(engine, connection, request, until);
     if (!ok(response)) {
         co_return failure(response);
     }
@@ -337,19 +337,19 @@
 // One engine to one version. What the engine reports decides, not what was ordered: an order whose answer was
 // lost may have been taken, or may be taken seconds later, and names the count of orders that it expects, so
 // that a second one cannot be carried out beside it.
-net::task<void> weights_keeper::load(target_ref at, std::string model, std::uint64_t version)
+net::task<void> weights_keeper::load(target_ref engine, std::string model, std::uint64_t version)
 {
-    const auto lifetime = at->info.lifetime();
+    const auto instance_id = engine->info.lifetime();
     const auto began = steady::now();
     auto pause = refused_pause;
     std::string outcome = "failed";
-    const auto report = co_await ask_report(at);
+    const auto report = co_await ask_report(engine);
     bool ordered = false;
     if (ok(report)) {
         const auto found = value(report).weights.find(model);
         const auto has = found == value(report).weights.end() ? std::uint64_t{0} : found->second;
         if (has >= version) {
-            at->saw_version(model, has);
+            engine->saw_version(model, has);
             outcome = "already there";
         }
         else if (value(report).busy) {
@@ -357,19 +357,20 @@
         }
         else {
             load_order order;
-            order.replica_id = at->info.id;
+            order.replica_id = engine->info.id;
             order.model = model;
             order.version = version;
-            order.mode = single_version(at->info.service) ? load_mode::finish_first : load_mode::keep_running;
+            order.mode =
+                single_version(engine->info.service) ? load_mode::finish_first : load_mode::keep_running;
             order.holder = holder_;
             order.expected_orders = value(report).orders_taken;
-            const auto answer = co_await send_order(at, order);
+            const auto answer = co_await send_order(engine, order);
             if (!ok(answer)) {
                 pause = failure(answer).ran == run_state::not_run ? refused_pause : unanswered_pause;
                 outcome = describe(failure(answer));
             }
             else if (value(answer) == order_outcome::already_done) {
-                at->saw_version(model, version);
+                engine->saw_version(model, version);
                 outcome = "already there";
             }
             else if (value(answer) == order_outcome::accepted) {
@@ -387,25 +388,27 @@
     if (ordered) {
         co_await net::sleep_for(loop_, usual_load);
     }
-    while (ordered && at->usable && at->version_of(model) < version && steady::now() - began < longest_load) {
-        const auto now_has = co_await ask_report(at);
+    while (ordered && engine->usable && engine->version_of(model) < version &&
+           steady::now() - began < longest_load) {
+        const auto now_has = co_await ask_report(engine);
         if (ok(now_has)) {
             const auto found = value(now_has).weights.find(model);
-            at->saw_version(model, found == value(now_has).weights.end() ? std::uint64_t{0} : found->second);
+            engine->saw_version(model,
+                                found == value(now_has).weights.end() ? std::uint64_t{0} : found->second);
         }
-        if (at->version_of(model) < version) {
+        if (engine->version_of(model) < version) {
             co_await net::sleep_for(loop_, look_again);
         }
     }
     observe::log(
         observe::log_level::info, "weights_ordered",
-        {{"replica", lifetime},
+        {{"replica", instance_id},
          {"model", model},
          {"version", static_cast<std::int64_t>(version)},
          {"outcome", outcome},
          {"took_ms", std::int64_t{std::chrono::duration_cast<milliseconds>(steady::now() - began).count()}}});
-    resting_until_[lifetime] = ordered ? time_point{} : steady::now() + pause;
-    loading_.erase(lifetime);
+    resting_until_[instance_id] = ordered ? time_point{} : steady::now() + pause;
+    loading_.erase(instance_id);
 }
 
 } // namespace vanillagauge::gateway
--- a/src/gateway/weights_keeper.hpp
+++ b/src/gateway/weights_keeper.hpp
@@ -56,9 +56,9 @@
     net::task<void> give_lease_up(std::uint64_t version, milliseconds acts_in);
     void order_next(time_point now);
     std::vector<target_ref> engines_of(const std::string& model) const;
-    net::task<void> load(target_ref at, std::string model, std::uint64_t version);
-    net::task_of<engine_report> ask_report(target_ref at);
-    net::task_of<order_outcome> send_order(target_ref at, load_order order);
+    net::task<void> load(target_ref engine, std::string model, std::uint64_t version);
+    net::task_of<engine_report> ask_report(target_ref engine);
+    net::task_of<order_outcome> send_order(target_ref engine, load_order order);
     bool was_suspended();
     bool single_version(const std::string& service) const;
 };
--- a/tests/adapter/protocol_tests.cpp
+++ b/tests/adapter/protocol_tests.cpp
@@ -77,7 +77,7 @@
         {"Id":"i1","Path":"/p/1","Headers":{"Token-Counts":"5,9","Length-Hint":"120"},"Body":"aGk=","Tokens":14,
          "Group":"g"}]})");
     ASSERT_TRUE(ok(read));
-    EXPECT_EQ(value(read).header.least_version, 6U);
+    EXPECT_EQ(value(read).header.min_version, 6U);
     EXPECT_EQ(value(read).items[0].length_hint, 120);
     EXPECT_EQ(value(gateway::decode_base64(value(read).items[0].body_base64)), "hi");
     const char* const bad[] = {
--- a/tests/gateway/batch_deployment.hpp
+++ b/tests/gateway/batch_deployment.hpp
@@ -12,19 +12,18 @@
 
 constexpr int item_count = 6;
 
-inline net::http_request make_batch(const std::string& id, std::uint64_t least_version = 1,
-                                    bool scored = false)
+inline net::http_request make_batch(const std::string& id, std::uint64_t min_version = 1, bool scored = false)
 {
     nlohmann::json items = nlohmann::json::array();
-    for (int place = 0; place < item_count; ++place) {
+    for (int index = 0; index < item_count; ++index) {
         nlohmann::json item;
-        item["Id"] = id + "-i" + std::to_string(place);
+        item["Id"] = id + "-i" + std::to_string(index);
         item["Path"] = "/lots/run";
         item["Headers"] = {{"Token-Counts", "5,9"}, {"Model", "m"}};
         item["Body"] = "aGk=";
-        item["Group"] = "g" + std::to_string(place / 2);
+        item["Group"] = "g" + std::to_string(index / 2);
         if (scored) {
-            const auto number = std::to_string(place);
+            const auto number = std::to_string(index);
             item["ScoringFunction"] = {{"Id", id + "-s" + number},
                                        {"Host", "h"},
                                        {"Path", "/score/" + number},
@@ -35,7 +34,7 @@
     nlohmann::json body;
     body["Step"] = 0;
     body["Model"] = "m";
-    body["MinVersion"] = least_version;
+    body["MinVersion"] = min_version;
     body["DesiredCount"] = 3;
     body["Items"] = std::move(items);
     net::http_request request;
--- a/tests/gateway/batch_progress_tests.cpp
+++ b/tests/gateway/batch_progress_tests.cpp
@@ -13,7 +13,7 @@
 {
     batch_header header;
     header.id = "b";
-    header.least_version = 2;
+    header.min_version = 2;
     header.attempts = 3;
     return header;
 }
@@ -21,9 +21,9 @@
 std::vector<batch_item> make_items(std::size_t count)
 {
     std::vector<batch_item> items(count);
-    for (std::size_t place = 0; place < count; ++place) {
-        items[place].id = "i" + std::to_string(place);
-        items[place].group = "g" + std::to_string(place / 2);
+    for (std::size_t index = 0; index < count; ++index) {
+        items[index].id = "i" + std::to_string(index);
+        items[index].group = "g" + std::to_string(index / 2);
     }
     return items;
 }
@@ -36,12 +36,12 @@
     return event;
 }
 
-void finish(batch_progress& progress, std::size_t place)
+void finish(batch_progress& progress, std::size_t index)
 {
-    progress.start(place);
-    ASSERT_EQ(progress.begin_run(place, 2), run_rejection::none);
-    ASSERT_EQ(progress.append_event(place, make_event(1, "text"), std::nullopt), run_rejection::none);
-    progress.complete(place);
+    progress.start(index);
+    ASSERT_EQ(progress.begin_run(index, 2), run_rejection::none);
+    ASSERT_EQ(progress.append_event(index, make_event(1, "text"), std::nullopt), run_rejection::none);
+    progress.complete(index);
 }
 
 // The trainer reads an item at two positions of its batch. Two owners run the batch after a restart; one
@@ -135,9 +135,9 @@
 TEST(batch_texts, come_back_as_they_were_kept)
 {
     batch_progress progress(make_header(), make_items(2));
-    for (std::size_t place = 0; place < 2; ++place) {
-        progress.start(place);
-        ASSERT_EQ(progress.begin_run(place, 2), run_rejection::none);
+    for (std::size_t index = 0; index < 2; ++index) {
+        progress.start(index);
+        ASSERT_EQ(progress.begin_run(index, 2), run_rejection::none);
     }
     constexpr std::uint64_t events = 12;
     for (std::uint64_t number = 1; number <= events; ++number) {
@@ -272,13 +272,13 @@
     const auto steps = *rc::gen::container<std::vector<int>>(60, rc::gen::inRange(0, 1000));
     for (const auto step : steps) {
         auto& owner = owners[static_cast<std::size_t>(step % 2)];
-        const auto place = static_cast<std::size_t>(step / 2) % count;
+        const auto index = static_cast<std::size_t>(step / 2) % count;
         switch (step / 20 % 6) {
         case 0:
         case 1:
-            owner.start(place);
-            if (owner.begin_run(place, 2) == run_rejection::none) {
-                owner.complete(place);
+            owner.start(index);
+            if (owner.begin_run(index, 2) == run_rejection::none) {
+                owner.complete(index);
             }
             break;
         case 2:
--- a/tests/gateway/scored_batch_tests.cpp
+++ b/tests/gateway/scored_batch_tests.cpp
@@ -132,8 +132,8 @@
     expect_scored(all.read_all({served.address()}, "b1"), "stamp-s1");
     const auto runs = all.scoring_runs();
     ASSERT_EQ(runs.size(), item_count);
-    for (std::size_t place = 1; place < runs.size(); ++place) {
-        EXPECT_GE(runs[place].at - runs[place - 1].at, work);
+    for (std::size_t index = 1; index < runs.size(); ++index) {
+        EXPECT_GE(runs[index].at - runs[index - 1].at, work);
     }
 }
 
