--- a/src/gateway/batch.cpp
+++ b/src/gateway/batch.cpp
@@ -66,7 +66,7 @@
     return item;
 }
 
-error unreadable(std::string what)
+error decode_error(std::string what)
 {
     return {error_code::invalid_argument, run_state::not_run, std::move(what)};
 }
@@ -113,7 +113,7 @@
 result<batch_header> header_from_json(const std::string& id, const json& value, const json& status)
 {
     return decoded<batch_header>(
-        value, unreadable("the batch " + id), [&](const json& from) -> result<batch_header> {
+        value, decode_error("the batch " + id), [&](const json& from) -> result<batch_header> {
             batch_header header;
             header.id = id;
             header.host = from.at("host").get<std::string>();
@@ -156,7 +156,7 @@
 result<result_segment> segment_from_json(const std::string& name, const json& value)
 {
     return decoded<result_segment>(
-        value, unreadable("the segment " + name), [&](const json& from) -> result<result_segment> {
+        value, decode_error("the segment " + name), [&](const json& from) -> result<result_segment> {
             result_segment segment;
             const auto parsed = std::from_chars(name.data(), name.data() + name.size(), segment.first);
             if (parsed.ec != std::errc{}) {
@@ -178,11 +178,11 @@
         });
 }
 
-std::vector<json> to_parts(const std::vector<batch_item>& items, std::size_t most_bytes)
+std::vector<json> to_parts(const std::vector<batch_item>& items, std::size_t max_bytes)
 {
     constexpr std::size_t other_bytes = 400; // ids, names and punctuation of an item
     std::vector<json> parts;
-    std::size_t filled = most_bytes;
+    std::size_t filled = max_bytes;
     for (const auto& item : items) {
         auto size = item.body_base64.size() + item.path.size() + other_bytes;
         for (const auto& field : item.fields) {
@@ -191,7 +191,7 @@
         if (item.scoring) {
             size += item.scoring->body_base64.size() + item.scoring->path.size() + other_bytes;
         }
-        if (parts.empty() || filled + size > most_bytes) {
+        if (parts.empty() || filled + size > max_bytes) {
             parts.push_back({{"items", json::array()}});
             filled = 0;
         }
@@ -203,7 +203,7 @@
 
 result<std::vector<batch_item>> items_from_json(const json& part)
 {
-    return decoded<std::vector<batch_item>>(part, unreadable("a batch's items"),
+    return decoded<std::vector<batch_item>>(part, decode_error("a batch's items"),
                                             [&](const json& from) -> result<std::vector<batch_item>> {
                                                 std::vector<batch_item> items;
                                                 for (const auto& entry : from.at("items")) {
--- a/src/gateway/batch.hpp
+++ b/src/gateway/batch.hpp
@@ -94,8 +94,8 @@
 
 nlohmann::json to_json(const batch_header& header);
 nlohmann::json to_json(const result_segment& segment);
-/// Parts of at most `most_bytes` each, but for an item that is larger alone.
-std::vector<nlohmann::json> to_parts(const std::vector<batch_item>& items, std::size_t most_bytes);
+/// Parts of at most `max_bytes` each, but for an item that is larger alone.
+std::vector<nlohmann::json> to_parts(const std::vector<batch_item>& items, std::size_t max_bytes);
 
 /// An entry that is not what this project writes is an `invalid_argument`.
 result<batch_header> header_from_json(const std::string& id, const nlohmann::json& value,
--- a/src/gateway/batch_progress.cpp
+++ b/src/gateway/batch_progress.cpp
@@ -110,7 +110,7 @@
 }
 
 // Texts made under weights that are too old for the batch are of no use.
-void batch_progress::restore_text(const item_text& text)
+void batch_progress::restore_text(const saved_text& text)
 {
     const auto found = index_by_id_.find(text.id);
     if (found == index_by_id_.end() || text.versions.empty() ||
@@ -126,13 +126,13 @@
     entry.events = text.events;
     entry.last_event = text.last_event;
     entry.versions = text.versions;
-    if (text.whole) {
+    if (text.complete) {
         entry.state = work_state::running;
         complete(found->second);
     }
 }
 
-std::optional<item_text> batch_progress::text_of(std::size_t index) const
+std::optional<saved_text> batch_progress::text_to_save(std::size_t index) const
 {
     const auto& entry = items_[index];
     const bool made = entry.events > 0 && entry.state != work_state::published;
@@ -140,9 +140,9 @@
         return std::nullopt;
     }
     const bool finished = entry.state == work_state::finished;
-    return item_text{entry.item.id,  finished ? entry.result.text : entry.text,
-                     entry.events,   entry.last_event,
-                     entry.versions, finished || entry.state == work_state::scoring};
+    return saved_text{entry.item.id,  finished ? entry.result.text : entry.text,
+                      entry.events,   entry.last_event,
+                      entry.versions, finished || entry.state == work_state::scoring};
 }
 
 void batch_progress::discard_text(std::size_t index)
@@ -222,7 +222,7 @@
         return std::nullopt;
     }
     // A segment must fit into one object of the store, and a reader's answer.
-    constexpr std::size_t most_bytes = 600U << 10U;
+    constexpr std::size_t max_bytes = 600U << 10U;
     result_segment segment;
     segment.first = published_;
     segment.writer = writer;
@@ -232,7 +232,7 @@
             continue;
         }
         bytes += entry.result.text.size() + entry.result.id.size() + 64;
-        if (bytes > most_bytes && !segment.results.empty()) {
+        if (bytes > max_bytes && !segment.results.empty()) {
             break;
         }
         segment.results.push_back(entry.result);
--- a/src/gateway/batch_progress.hpp
+++ b/src/gateway/batch_progress.hpp
@@ -38,15 +38,15 @@
 };
 
 /// An item's text as far as it was made, for an owner that goes on with it.
-struct item_text {
+struct saved_text {
     std::string id;
     std::string text;
     std::size_t events = 0;
     std::optional<std::uint64_t> last_event{};
     std::set<std::uint64_t> versions{};
-    bool whole = false; ///< nothing is missing but the score
+    bool complete = false; ///< nothing is missing but the score
 
-    friend bool operator==(const item_text&, const item_text&) = default;
+    friend bool operator==(const saved_text&, const saved_text&) = default;
 };
 
 /// Why a run's answer does not continue the text that is there.
@@ -66,7 +66,7 @@
     run_rejection append_event(std::size_t index, const net::stream_event& event,
                                std::optional<std::uint64_t> new_version);
     /// The text that an earlier owner made of an item that has none here.
-    void restore_text(const item_text& text);
+    void restore_text(const saved_text& text);
     /// Drops the text, which a run cannot continue.
     void discard_text(std::size_t index);
     /// The run is over and its text is whole. The item is finished, or waits for its score.
@@ -95,7 +95,7 @@
     /// Items of the same group that are neither finished nor listed, this one with them.
     std::size_t open_in_group(std::size_t index) const;
     /// What was made of an item that is not listed; none where nothing was.
-    std::optional<item_text> text_of(std::size_t index) const;
+    std::optional<saved_text> text_to_save(std::size_t index) const;
     /// Waiting items in the order in which they are to run: carried-over groups stand first, the longest of a
     /// group's items before the shorter ones.
     const std::vector<std::size_t>& order() const { return order_; }
--- a/src/gateway/batch_runner.cpp
+++ b/src/gateway/batch_runner.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// How often a batch looks at what is late, silent or to be listed.
-constexpr milliseconds look_every{50};
+constexpr milliseconds poll_interval{50};
 
 /// Between two writes of results. Trainers read about twice a second; a write costs a call.
 constexpr milliseconds publish_interval{400};
@@ -22,10 +22,10 @@
 /// late. Members find each other within this time.
 constexpr milliseconds discovery_time{1500};
 
-constexpr milliseconds store_retry{300};
+constexpr milliseconds store_retry_delay{300};
 
 /// A run's work that is lost with its owner at most, but for the time of the write.
-constexpr milliseconds keep_texts_every{1000};
+constexpr milliseconds text_save_interval{1000};
 
 } // namespace
 
@@ -168,10 +168,10 @@
 // What an earlier owner kept of the texts. Without it the items are made from their start.
 net::task<void> batch_runner::load_texts(batch_run_ref batch)
 {
-    const auto kept = co_await batch->texts.kept();
+    const auto saved = co_await batch->texts.load();
     std::size_t events = 0;
-    if (ok(kept)) {
-        for (const auto& text : value(kept)) {
+    if (ok(saved)) {
+        for (const auto& text : value(saved)) {
             batch->progress.restore_text(text);
             events += text.events;
         }
@@ -179,7 +179,7 @@
     observe::log(observe::log_level::info, "texts_taken_over",
                  {{"batch", batch->progress.header().id},
                   {"events", static_cast<std::int64_t>(events)},
-                  {"outcome", ok(kept) ? std::string("read") : describe(failure(kept))}});
+                  {"outcome", ok(saved) ? std::string("read") : describe(failure(saved))}});
     for (std::size_t index = 0; index < batch->progress.items().size(); ++index) {
         if (batch->progress.items()[index].state == work_state::scoring) {
             net::start(loop_, score_item(batch, index));
@@ -190,15 +190,15 @@
 // Failure: the owner dies while long items run, and its successor makes each of them from its start: a step
 // that was nearly whole takes its whole time again and its trainer falls behind for good. What the owner has
 // made is kept in the store, so the successor loses about the time between two writes.
-void batch_runner::keep_texts(const batch_run_ref& batch)
+void batch_runner::save_texts(const batch_run_ref& batch)
 {
     const auto now = steady::now();
     const bool due = std::any_of(batch->item_runs.begin(), batch->item_runs.end(), [&](const auto& entry) {
         const auto& run = entry.second;
-        return run->received_event && now - std::max(run->began, batch->texts_kept) >= keep_texts_every;
+        return run->received_event && now - std::max(run->began, batch->texts_saved_at) >= text_save_interval;
     });
-    if (due && batch->stored && !batch->keeping_texts) {
-        batch->keeping_texts = true;
+    if (due && batch->stored && !batch->saving_texts) {
+        batch->saving_texts = true;
         net::start(loop_, write_texts(batch));
     }
 }
@@ -206,15 +206,15 @@
 net::task<void> batch_runner::write_texts(batch_run_ref batch)
 {
     const auto made = steady::now();
-    auto texts = texts_to_keep(batch->progress);
+    auto texts = texts_to_save(batch->progress);
     const auto count = static_cast<std::int64_t>(texts.size());
-    const auto kept = co_await batch->texts.keep(std::move(texts));
-    batch->texts_kept = made;
-    batch->keeping_texts = false;
-    observe::log(ok(kept) ? observe::log_level::info : observe::log_level::warning, "texts_kept",
+    const auto saved = co_await batch->texts.save(std::move(texts));
+    batch->texts_saved_at = made;
+    batch->saving_texts = false;
+    observe::log(ok(saved) ? observe::log_level::info : observe::log_level::warning, "texts_kept",
                  {{"batch", batch->progress.header().id},
                   {"texts", count},
-                  {"outcome", ok(kept) ? std::string("done") : describe(failure(kept))}});
+                  {"outcome", ok(saved) ? std::string("done") : describe(failure(saved))}});
 }
 
 net::task<void> batch_runner::load_and_run(batch_header header)
@@ -224,7 +224,7 @@
     while (!ok(items)) {
         observe::log(observe::log_level::warning, "batch_items_unread",
                      {{"batch", header.id}, {"why", describe(failure(items))}});
-        co_await net::sleep_for(loop_, store_retry);
+        co_await net::sleep_for(loop_, store_retry_delay);
         const auto* now_known = find(header.id);
         if (now_known != nullptr && now_known->ended) {
             active_.erase(header.id);
@@ -238,7 +238,7 @@
     while (!loaded) {
         loaded = co_await load_results(*batch);
         if (!loaded) {
-            co_await net::sleep_for(loop_, store_retry);
+            co_await net::sleep_for(loop_, store_retry_delay);
         }
     }
     const auto* known = find(header.id);
@@ -259,16 +259,17 @@
         place_items();
         move_stragglers(*batch);
         expire_items(*batch);
-        keep_texts(batch);
+        save_texts(batch);
         const auto now = steady::now();
         auto& progress = batch->progress;
         if (progress.unpublished_results() == 0) {
             batch->first_unpublished = now;
         }
-        const bool whole = progress.unpublished_results() + progress.published() >= progress.header().total;
+        const bool complete =
+            progress.unpublished_results() + progress.published() >= progress.header().total;
         const bool due =
-            progress.has_complete_group() || whole || now - batch->first_unpublished >= publish_delay;
-        const bool rested = now - batch->last_publish >= publish_interval || whole;
+            progress.has_complete_group() || complete || now - batch->first_unpublished >= publish_delay;
+        const bool rested = now - batch->last_publish >= publish_interval || complete;
         if (batch->stored && !batch->publishing && progress.unpublished_results() > 0 && due && rested) {
             batch->publishing = true;
             batch->last_publish = now;
@@ -279,7 +280,7 @@
             end(batch, "all items are listed");
             break;
         }
-        co_await batch->changed.wait_until(now + look_every);
+        co_await batch->changed.wait_until(now + poll_interval);
     }
 }
 
@@ -360,13 +361,13 @@
                 // would take all calls that the store gives this gateway.
                 observe::log(observe::log_level::error, "segment_unreadable",
                              {{"batch", progress.header().id}, {"why", describe(failure(parsed))}});
-                co_await net::sleep_for(loop_, store_retry);
+                co_await net::sleep_for(loop_, store_retry_delay);
             }
         }
         else {
             observe::log(observe::log_level::warning, "segment_unwritten",
                          {{"batch", progress.header().id}, {"why", describe(failure(written))}});
-            co_await net::sleep_for(loop_, store_retry);
+            co_await net::sleep_for(loop_, store_retry_delay);
         }
         progress.finish_write();
     }
--- a/src/gateway/batch_runner.hpp
+++ b/src/gateway/batch_runner.hpp
@@ -78,7 +78,7 @@
     net::task_of<std::vector<batch_item>> load_items(const batch_header& header);
     net::task<bool> load_results(batch_run& batch);
     net::task<void> load_texts(batch_run_ref batch);
-    void keep_texts(const batch_run_ref& batch);
+    void save_texts(const batch_run_ref& batch);
     net::task<void> write_texts(batch_run_ref batch);
     net::task<void> run_until_done(batch_run_ref batch);
     void place_items();
--- a/src/gateway/batch_runner_items.cpp
+++ b/src/gateway/batch_runner_items.cpp
@@ -9,19 +9,19 @@
 namespace {
 
 /// A full engine refuses until a request of its ends, which takes some hundred milliseconds.
-constexpr milliseconds full_back_off{100};
+constexpr milliseconds overload_backoff{100};
 /// A replica whose connection failed: crashed ones are back after some seconds.
-constexpr milliseconds broken_back_off{500};
+constexpr milliseconds failure_backoff{500};
 
 /// Many times what an engine takes for an event, or a load of weights holds a run up.
-constexpr milliseconds silence{1000};
+constexpr milliseconds event_timeout{1000};
 /// The first event may wait in the engine's line.
-constexpr milliseconds first_silence{2000};
+constexpr milliseconds first_event_timeout{2000};
 
-constexpr milliseconds connect_time{1000};
+constexpr milliseconds connect_timeout{1000};
 
 /// Before a scoring call is made again.
-constexpr milliseconds score_pause{100};
+constexpr milliseconds scoring_retry_delay{100};
 
 net::http_request item_request(const batch_header& header, const batch_item& item)
 {
@@ -50,7 +50,7 @@
     observe::span hop(observe::trace_of(batch->progress.header().id), "item_run");
     hop.note("request_id", batch->progress.items()[index].item.id);
     hop.note("replica", engine->info.lifetime());
-    auto taken = co_await engine->pool.take(steady::now() + connect_time);
+    auto taken = co_await engine->pool.take(steady::now() + connect_timeout);
     if (auto* connection = std::get_if<std::shared_ptr<net::http_connection>>(&taken)) {
         run->connection = *connection;
         if (!batch->ended && batch->progress.items()[index].state == work_state::running) {
@@ -58,7 +58,7 @@
         }
     }
     else {
-        engine->back_off_until = steady::now() + broken_back_off;
+        engine->back_off_until = steady::now() + failure_backoff;
         batch->progress.release(index, {}, engine->info.lifetime());
     }
     --engine->streams;
@@ -72,7 +72,7 @@
     const auto now = steady::now();
     const auto& item = batch.progress.items()[index].item;
     if (not_run) {
-        engine->back_off_until = now + full_back_off;
+        engine->back_off_until = now + overload_backoff;
         batch.progress.release(index, {}, engine->info.lifetime());
         return;
     }
@@ -87,7 +87,7 @@
         batch.progress.terminate(index);
         return;
     }
-    batch.progress.release(index, now + full_back_off, engine->info.lifetime());
+    batch.progress.release(index, now + overload_backoff, engine->info.lifetime());
 }
 
 void batch_runner::log_completed(const batch_progress& progress, std::size_t index, const item_run& run) const
@@ -126,8 +126,8 @@
         ++calls;
         internal_errors += outcome.internal_errors;
         const bool scored = ok(outcome.score);
-        const auto most_errors = std::max(outcome.most_internal_errors, progress.header().attempts);
-        const bool permanent = !scored && internal_errors >= most_errors;
+        const auto max_errors = std::max(outcome.max_internal_errors, progress.header().attempts);
+        const bool permanent = !scored && internal_errors >= max_errors;
         if (scored) {
             progress.set_score(index, value(outcome.score));
         }
@@ -146,7 +146,7 @@
              {"outcome", scored ? std::string("scored")
                                 : (permanent ? "given up: " : "") + describe(failure(outcome.score))}});
         if (!scored && !permanent) {
-            co_await net::sleep_for(loop_, score_pause);
+            co_await net::sleep_for(loop_, scoring_retry_delay);
         }
     }
     batch->changed.notify();
@@ -166,15 +166,15 @@
     sent.resume_after = progress.items()[index].last_event;
     const auto request = protocol_.to_replica(item_request(progress.header(), item), sent);
     auto& connection = *run->connection;
-    const auto written = co_await connection.send(request, steady::now() + connect_time);
+    const auto written = co_await connection.send(request, steady::now() + connect_timeout);
     net::http_result<net::response_head> read = net::http_failure{};
     if (std::holds_alternative<done>(written)) {
-        read = co_await connection.read_head(steady::now() + first_silence);
+        read = co_await connection.read_head(steady::now() + first_event_timeout);
     }
     const auto* head = std::get_if<net::response_head>(&read);
     if (head == nullptr) {
         if (!connection.reused()) {
-            engine->back_off_until = steady::now() + broken_back_off;
+            engine->back_off_until = steady::now() + failure_backoff;
         }
         progress.release(index, {}, instance_id);
         co_return;
@@ -186,7 +186,7 @@
     const auto idle = head->keep_alive ? net::idle_time_of(head->fields, seconds(4)) : duration{0};
     if (head->status != 200 || marks.not_run) {
         const auto status = head->status;
-        const auto rest = co_await connection.read_body(64U << 10U, steady::now() + connect_time);
+        const auto rest = co_await connection.read_body(64U << 10U, steady::now() + connect_timeout);
         if (std::holds_alternative<std::string>(rest)) {
             engine->pool.give_back(run->connection, idle);
         }
@@ -200,11 +200,11 @@
             progress.discard_text(index);
         }
         connection.close();
-        progress.release(index, steady::now() + full_back_off, instance_id);
+        progress.release(index, steady::now() + overload_backoff, instance_id);
         co_return;
     }
-    const bool whole = co_await read_events(batch, index, run);
-    if (whole) {
+    const bool complete = co_await read_events(batch, index, run);
+    if (complete) {
         engine->pool.give_back(run->connection, idle);
         co_return;
     }
@@ -222,7 +222,7 @@
     const auto instance_id = engine->info.lifetime();
     net::event_reader reader;
     while (!batch->ended && progress.items()[index].state == work_state::running) {
-        const auto timeout = run->received_event ? silence : first_silence;
+        const auto timeout = run->received_event ? event_timeout : first_event_timeout;
         auto piece = co_await connection.read_piece(steady::now() + timeout);
         auto* bytes = std::get_if<net::body_piece>(&piece);
         if (bytes == nullptr || progress.items()[index].state != work_state::running) {
@@ -232,7 +232,7 @@
             const auto broken = progress.append_event(index, event, protocol_.weights_version(event));
             if (broken != run_rejection::none) {
                 progress.discard_text(index);
-                progress.release(index, steady::now() + full_back_off, instance_id);
+                progress.release(index, steady::now() + overload_backoff, instance_id);
                 co_return false;
             }
             const auto now = steady::now();
--- a/src/gateway/batch_runner_placement.cpp
+++ b/src/gateway/batch_runner_placement.cpp
@@ -10,7 +10,7 @@
 
 /// A run this old is moved from a slow engine, once others have room: what it has is kept, and the prompt is
 /// read again in a few milliseconds. Shorter ones are over soon.
-constexpr milliseconds least_run{600};
+constexpr milliseconds min_run_time{600};
 
 double slow_gap_of(const std::vector<target_ref>& engines)
 {
@@ -130,7 +130,7 @@
     for (const auto& entry : batch.item_runs) {
         const auto& run = entry.second;
         const bool slow = run->engine->piece_gap_ms >= slow_from;
-        if (!slow || !run->connection || now - run->began < least_run) {
+        if (!slow || !run->connection || now - run->began < min_run_time) {
             continue;
         }
         const bool better = std::any_of(engines.begin(), engines.end(), [&](const target_ref& engine) {
--- a/src/gateway/batch_service.cpp
+++ b/src/gateway/batch_service.cpp
@@ -12,22 +12,22 @@
 namespace {
 
 /// Bytes of results in one answer.
-constexpr std::size_t most_page_bytes = 900U << 10U;
+constexpr std::size_t max_page_bytes = 900U << 10U;
 
 /// Between two looks for the batch in the feed.
-constexpr milliseconds settle_look{50};
+constexpr milliseconds poll_interval{50};
 
 /// When to bring a batch again that the store could not take.
 constexpr milliseconds store_retry_after{500};
 
 /// Bodies are asked for now and then, of few batches; each item list takes some 200 KB.
-constexpr std::size_t most_cached = 1;
+constexpr std::size_t max_cached = 1;
 
 /// Logs whose segment ends are known here, a few dozen numbers each.
 constexpr std::size_t max_known_results = 128;
 
 /// A shorter wait for results is not worth a call.
-constexpr milliseconds least_wait{50};
+constexpr milliseconds min_wait{50};
 
 } // namespace
 
@@ -39,22 +39,22 @@
 
 // A creation without an answer may have been done, or may be done later; made again under the same name it
 // settles what stands. `not_run` errors say that nothing was written by any of the tries.
-net::task_of<stored_object> batch_service::create_surely(std::string kind, std::string name, json value,
-                                                         time_point until)
+net::task_of<stored_object> batch_service::create_with_retry(std::string kind, std::string name, json value,
+                                                             time_point until)
 {
-    auto doubt = run_state::not_run;
+    auto ran = run_state::not_run;
     while (true) {
         auto created = co_await store_.create(kind, name, value);
         if (ok(created) || failure(created).code == error_code::conflict) {
             co_return created;
         }
         auto reason = failure(created);
-        doubt = std::max(doubt, reason.ran);
-        if (doubt == run_state::not_run || steady::now() >= until) {
-            reason.ran = doubt;
+        ran = std::max(ran, reason.ran);
+        if (ran == run_state::not_run || steady::now() >= until) {
+            reason.ran = ran;
             co_return reason;
         }
-        co_await net::sleep_for(loop_, settle_pause);
+        co_await net::sleep_for(loop_, retry_interval);
     }
 }
 
@@ -74,11 +74,11 @@
     header.owner_incarnation = fleet_.incarnation();
     const auto id = header.id;
     net::start(loop_, speculate_when_slow(current));
-    net::start(loop_, settle(current));
+    net::start(loop_, resolve_attempt(current));
     // A call that hangs at a store that is back by now must not keep the trainer from hearing that the batch
     // stands, once the feed shows it.
     while (!current->outcome && !headers_.objects().contains(id)) {
-        co_await current->changed.wait_until(steady::now() + settle_look);
+        co_await current->changed.wait_until(steady::now() + poll_interval);
     }
     if (!current->outcome) {
         current->outcome = done{};
@@ -95,9 +95,9 @@
     co_return reason;
 }
 
-net::task<void> batch_service::settle(std::shared_ptr<attempt> current)
+net::task<void> batch_service::resolve_attempt(std::shared_ptr<attempt> current)
 {
-    auto stored = co_await store_batch(current, steady::now() + settle_time);
+    auto stored = co_await store_batch(current, steady::now() + resolve_timeout);
     if (!current->outcome) {
         current->outcome = std::move(stored);
     }
@@ -107,17 +107,17 @@
 net::task_of<done> batch_service::store_batch(std::shared_ptr<attempt> current, time_point until)
 {
     auto& header = current->submission.header;
-    auto parts = to_parts(current->submission.items, most_part_bytes);
+    auto parts = to_parts(current->submission.items, max_part_bytes);
     header.parts = parts.size();
     for (std::size_t part = 0; part < parts.size(); ++part) {
         const auto stored =
-            co_await create_surely(item_kind, part_name(header.id, part), std::move(parts[part]), until);
+            co_await create_with_retry(item_kind, part_name(header.id, part), std::move(parts[part]), until);
         if (!ok(stored) && failure(stored).code != error_code::conflict) {
             co_return error{error_code::unavailable, run_state::not_run, describe(failure(stored)),
                             store_retry_after};
         }
     }
-    current->naming = true;
+    current->storing_header = true;
     // A gateway that stops starts no batch, and the others would wait until it has left.
     const auto successor =
         runner_.starts_batches() || runner_.runs(header.id) ? std::nullopt : other_owner(header.id);
@@ -128,7 +128,7 @@
     if (header.owner_vm == fleet_.self()) {
         runner_.cache_items(header.id, current->submission.items);
     }
-    auto created = co_await create_surely(batch_kind, header.id, to_json(header), until);
+    auto created = co_await create_with_retry(batch_kind, header.id, to_json(header), until);
     if (ok(created)) {
         headers_.take_own(std::move(value(created)));
         co_return done{};
@@ -199,7 +199,7 @@
     for (const auto& segment : segments) {
         for (std::size_t index = 0; index < segment.results.size(); ++index) {
             const auto& entry = segment.results[index];
-            const bool fits = page.results.empty() || bytes + entry.text.size() < most_page_bytes;
+            const bool fits = page.results.empty() || bytes + entry.text.size() < max_page_bytes;
             if (segment.first + index == page.first + page.results.size() && fits) {
                 bytes += entry.text.size() + entry.id.size();
                 page.results.push_back(entry);
@@ -264,7 +264,7 @@
     // tells what came since, for one call of the store instead of two.
     const auto since = empty_as_of(batch, first);
     bool received = false;
-    if (since > 0 && wait > least_wait) {
+    if (since > 0 && wait > min_wait) {
         received = co_await add_new_results(page, batch, since, until);
     }
     if (received) {
@@ -275,7 +275,7 @@
         co_return failure(listing);
     }
     add_results(page, value(listing).segments);
-    if (page.results.empty() && until - steady::now() > least_wait) {
+    if (page.results.empty() && until - steady::now() > min_wait) {
         co_await add_new_results(page, batch, value(listing).as_of, until);
     }
     co_return page;
@@ -295,7 +295,7 @@
     }
     auto& items = value(read);
     cache_.push_front({header.id, items});
-    if (cache_.size() > most_cached) {
+    if (cache_.size() > max_cached) {
         cache_.pop_back();
     }
     co_return items;
--- a/src/gateway/batch_service.hpp
+++ b/src/gateway/batch_service.hpp
@@ -62,7 +62,7 @@
     struct attempt;                                       ///< to store one submission
     std::map<std::string, time_point> speculative_until_; ///< batches that run here before the store has them
 
-    net::task<void> settle(std::shared_ptr<attempt> current);
+    net::task<void> resolve_attempt(std::shared_ptr<attempt> current);
     net::task_of<done> store_batch(std::shared_ptr<attempt> current, time_point until);
     net::task<void> speculate_when_slow(std::shared_ptr<attempt> current);
     std::optional<gateway_peer> other_owner(const std::string& batch) const;
@@ -70,8 +70,8 @@
     net::task<void> send_speculative(std::shared_ptr<attempt> current);
     void run_speculative(batch_submission submission);
     net::task<void> resolve_speculative(batch_submission submission);
-    net::task_of<stored_object> create_surely(std::string kind, std::string name, nlohmann::json value,
-                                              time_point until);
+    net::task_of<stored_object> create_with_retry(std::string kind, std::string name, nlohmann::json value,
+                                                  time_point until);
     net::task_of<batch_header> find(std::string batch);
     /// What earlier reads have shown of a batch's results.
     struct known_results {
--- a/src/gateway/batch_service_speculative.cpp
+++ b/src/gateway/batch_service_speculative.cpp
@@ -20,7 +20,7 @@
 constexpr milliseconds query_timeout{500};
 
 /// A slow store still answers within it.
-constexpr milliseconds check_time{450};
+constexpr milliseconds store_check_timeout{450};
 
 result<batch_submission> submission_from_json(const json& from)
 {
@@ -50,7 +50,7 @@
 {
     co_await net::sleep_for(loop_, speculation_delay);
     auto& header = current->submission.header;
-    if (current->outcome || current->naming || headers_.objects().contains(header.id)) {
+    if (current->outcome || current->storing_header || headers_.objects().contains(header.id)) {
         co_return;
     }
     current->speculative = true;
@@ -98,10 +98,10 @@
     }
     json question{{"id", header.id},
                   {"header", to_json(header)},
-                  {"parts", to_parts(current->submission.items, most_part_bytes)}};
+                  {"parts", to_parts(current->submission.items, max_part_bytes)}};
     const auto reply = co_await store_.ask(owner->relay_address, speculative_path, std::move(question),
                                            steady::now() + speculation_call_timeout);
-    if (ok(reply) && !current->naming) {
+    if (ok(reply) && !current->storing_header) {
         header.owner_vm = owner->vm;
         header.owner_incarnation = owner->incarnation;
     }
@@ -162,20 +162,20 @@
     current->submission = std::move(submission);
     while (!headers_.objects().contains(id) && steady::now() < std::min(last, speculative_until_[id])) {
         // A short question finds the store's return sooner than a write that hangs.
-        const auto back = co_await store_.check(batch_kind, check_time);
+        const auto back = co_await store_.check(batch_kind, store_check_timeout);
         if (!ok(back)) {
-            co_await net::sleep_for(loop_, settle_pause);
+            co_await net::sleep_for(loop_, retry_interval);
             continue;
         }
-        const auto stored = co_await store_batch(current, steady::now() + settle_time);
+        const auto stored = co_await store_batch(current, steady::now() + resolve_timeout);
         if (ok(stored)) {
             break;
         }
-        co_await net::sleep_for(loop_, settle_pause);
+        co_await net::sleep_for(loop_, retry_interval);
     }
     // Where the header stands, the feed brings it with its owner.
     while (!headers_.objects().contains(id) && steady::now() < speculative_until_[id]) {
-        co_await net::sleep_for(loop_, settle_pause);
+        co_await net::sleep_for(loop_, retry_interval);
     }
     speculative_until_.erase(id);
     runner_.drop_speculative(id);
--- a/src/gateway/batch_texts.cpp
+++ b/src/gateway/batch_texts.cpp
@@ -11,14 +11,14 @@
 namespace {
 
 /// Less than this is made again in the time that it takes to read it back.
-constexpr std::size_t least_events = 10;
+constexpr std::size_t min_events = 10;
 
 /// Well below what the store takes as one value.
-constexpr std::size_t most_bytes = 600U << 10U;
+constexpr std::size_t max_bytes = 600U << 10U;
 
-item_text text_from_json(const json& from)
+saved_text text_from_json(const json& from)
 {
-    item_text text;
+    saved_text text;
     text.id = from.at("id").get<std::string>();
     text.text = from.at("text").get<std::string>();
     text.events = from.at("events").get<std::size_t>();
@@ -26,17 +26,17 @@
         text.last_event = last->get<std::uint64_t>();
     }
     text.versions = from.at("versions").get<std::set<std::uint64_t>>();
-    text.whole = from.at("whole").get<bool>();
+    text.complete = from.at("whole").get<bool>();
     return text;
 }
 
-json to_json(const item_text& text)
+json to_json(const saved_text& text)
 {
     json to{{"id", text.id},
             {"text", text.text},
             {"events", text.events},
             {"versions", text.versions},
-            {"whole", text.whole}};
+            {"whole", text.complete}};
     if (text.last_event) {
         to["last"] = *text.last_event;
     }
@@ -45,27 +45,27 @@
 
 } // namespace
 
-std::vector<item_text> texts_to_keep(const batch_progress& progress)
+std::vector<saved_text> texts_to_save(const batch_progress& progress)
 {
-    std::vector<item_text> texts;
+    std::vector<saved_text> texts;
     for (std::size_t index = 0; index < progress.items().size(); ++index) {
-        auto text = progress.text_of(index);
-        if (text && text->events >= least_events) {
+        auto text = progress.text_to_save(index);
+        if (text && text->events >= min_events) {
             texts.push_back(std::move(*text));
         }
     }
     std::sort(texts.begin(), texts.end(),
-              [](const item_text& left, const item_text& right) { return left.events > right.events; });
+              [](const saved_text& left, const saved_text& right) { return left.events > right.events; });
     std::size_t bytes = 0;
-    const auto too_much = std::find_if(texts.begin(), texts.end(), [&bytes](const item_text& text) {
+    const auto too_much = std::find_if(texts.begin(), texts.end(), [&bytes](const saved_text& text) {
         bytes += text.text.size() + text.id.size();
-        return bytes > most_bytes;
+        return bytes > max_bytes;
     });
     texts.erase(too_much, texts.end());
     return texts;
 }
 
-json to_json(const std::vector<item_text>& texts)
+json to_json(const std::vector<saved_text>& texts)
 {
     json list = json::array();
     for (const auto& text : texts) {
@@ -74,28 +74,28 @@
     return {{"texts", std::move(list)}};
 }
 
-result<std::vector<item_text>> texts_from_json(const json& value)
+result<std::vector<saved_text>> texts_from_json(const json& value)
 {
     const error unreadable{error_code::invalid_argument, run_state::not_run, "the kept texts of a batch"};
-    return decoded<std::vector<item_text>>(value, unreadable,
-                                           [](const json& from) -> result<std::vector<item_text>> {
-                                               std::vector<item_text> texts;
-                                               for (const auto& entry : from.at("texts")) {
-                                                   texts.push_back(text_from_json(entry));
-                                               }
-                                               return texts;
-                                           });
+    return decoded<std::vector<saved_text>>(value, unreadable,
+                                            [](const json& from) -> result<std::vector<saved_text>> {
+                                                std::vector<saved_text> texts;
+                                                for (const auto& entry : from.at("texts")) {
+                                                    texts.push_back(text_from_json(entry));
+                                                }
+                                                return texts;
+                                            });
 }
 
-net::task_of<done> text_keeper::keep(std::vector<item_text> texts)
+net::task_of<done> text_store::save(std::vector<saved_text> texts)
 {
-    auto value_to_keep = to_json(texts);
+    auto saved = to_json(texts);
     result<stored_object> written = error{};
     if (revision_ == 0) {
-        written = co_await store_.create(text_kind, batch_, std::move(value_to_keep));
+        written = co_await store_.create(text_kind, batch_, std::move(saved));
     }
     else {
-        written = co_await store_.replace(text_kind, batch_, std::move(value_to_keep), revision_);
+        written = co_await store_.replace(text_kind, batch_, std::move(saved), revision_);
     }
     if (ok(written)) {
         revision_ = value(written).revision;
@@ -109,7 +109,7 @@
     co_return failure(written);
 }
 
-net::task_of<std::vector<item_text>> text_keeper::kept()
+net::task_of<std::vector<saved_text>> text_store::load()
 {
     const auto stored = co_await store_.read(text_kind, batch_);
     if (!ok(stored)) {
--- a/src/gateway/batch_texts.hpp
+++ b/src/gateway/batch_texts.hpp
@@ -13,21 +13,21 @@
 constexpr const char* text_kind = "batch-texts";
 
 /// The longest texts that are not listed, up to what one object holds. Short ones are soon made again.
-std::vector<item_text> texts_to_keep(const batch_progress& progress);
+std::vector<saved_text> texts_to_save(const batch_progress& progress);
 
-nlohmann::json to_json(const std::vector<item_text>& texts);
+nlohmann::json to_json(const std::vector<saved_text>& texts);
 /// An entry that is not what this project writes is an `invalid_argument`.
-result<std::vector<item_text>> texts_from_json(const nlohmann::json& value);
+result<std::vector<saved_text>> texts_from_json(const nlohmann::json& value);
 
 /// Keeps the texts of one batch, each time in place of those before.
-class text_keeper {
+class text_store {
 public:
     /// The store must outlive it.
-    text_keeper(object_store& store, std::string batch) : store_(store), batch_(std::move(batch)) {}
+    text_store(object_store& store, std::string batch) : store_(store), batch_(std::move(batch)) {}
 
-    net::task_of<done> keep(std::vector<item_text> texts);
+    net::task_of<done> save(std::vector<saved_text> texts);
     /// What an earlier owner kept; `not_found` where there is nothing.
-    net::task_of<std::vector<item_text>> kept();
+    net::task_of<std::vector<saved_text>> load();
 
 private:
     object_store& store_;
--- a/src/gateway/internal/batch_run.hpp
+++ b/src/gateway/internal/batch_run.hpp
@@ -31,9 +31,9 @@
     bool publishing = false;
     time_point last_publish{};
     time_point first_unpublished{};
-    text_keeper texts;
-    bool keeping_texts = false;
-    time_point texts_kept{}; ///< what was made since then would be lost with this gateway
+    text_store texts;
+    bool saving_texts = false;
+    time_point texts_saved_at{}; ///< what was made since then would be lost with this gateway
     wall_time expires_at{};
 
     void cancel_work()
--- a/src/gateway/item_scorer.cpp
+++ b/src/gateway/item_scorer.cpp
@@ -4,12 +4,12 @@
 namespace {
 
 /// Then the route is looked up again, since it may lead to another service by now.
-constexpr milliseconds longest_call{2000};
+constexpr milliseconds call_timeout{2000};
 
 /// A configuration is in force everywhere within about two seconds.
 constexpr milliseconds route_retry_after{1000};
 
-error no_score(std::string detail)
+error scoring_error(std::string detail)
 {
     return {error_code::unavailable, run_state::in_doubt, std::move(detail)};
 }
@@ -33,7 +33,7 @@
 net::task<scoring_outcome> item_scorer::score(scoring_call call, policy::priority urgency,
                                               std::shared_ptr<call_ticket> ticket)
 {
-    scoring_outcome outcome{no_score("no route leads to the scoring call")};
+    scoring_outcome outcome{scoring_error("no route leads to the scoring call")};
     const auto* found = find_route(current_(), call.host, net::path_of(call.path));
     if (found == nullptr) {
         co_return outcome;
@@ -48,11 +48,11 @@
     request.http.body = ok(body) ? std::move(value(body)) : std::string{};
     request.host = call.host;
     request.attempt_id = call.id;
-    request.time_allowed = longest_call;
+    request.time_allowed = call_timeout;
     request.arrived = steady::now();
     const auto reply = co_await calls_.make_call(chosen, std::move(request), urgency, ticket);
     outcome.internal_errors = reply.internal_errors;
-    outcome.most_internal_errors = chosen.attempts;
+    outcome.max_internal_errors = chosen.attempts;
     if (!ok(reply.response)) {
         outcome.score = failure(reply.response);
         co_return outcome;
@@ -63,7 +63,7 @@
         outcome.score = marks.authentication_code;
     }
     else {
-        outcome.score = no_score("the scoring call was answered " + std::to_string(response.status));
+        outcome.score = scoring_error("the scoring call was answered " + std::to_string(response.status));
     }
     co_return outcome;
 }
--- a/src/gateway/item_scorer.hpp
+++ b/src/gateway/item_scorer.hpp
@@ -13,9 +13,9 @@
 
 /// How one call for a score ended.
 struct scoring_outcome {
-    result<std::string> score;    ///< the answer's authentication code
-    int internal_errors = 0;      ///< replicas that answered 500
-    int most_internal_errors = 1; ///< after which the route counts the call as failed for good
+    result<std::string> score;   ///< the answer's authentication code
+    int internal_errors = 0;     ///< replicas that answered 500
+    int max_internal_errors = 1; ///< after which the route counts the call as failed for good
 };
 
 /// `not_run` where no route leads to one of the batch's scoring calls.
--- a/tests/gateway/batch_progress_tests.cpp
+++ b/tests/gateway/batch_progress_tests.cpp
@@ -144,7 +144,7 @@
         ASSERT_EQ(progress.append_event(1, make_event(number, "x"), std::nullopt), run_rejection::none);
     }
     ASSERT_EQ(progress.append_event(0, make_event(1, "x"), std::nullopt), run_rejection::none);
-    const auto texts = texts_to_keep(progress);
+    const auto texts = texts_to_save(progress);
     ASSERT_EQ(texts.size(), 1U) << "a text of one event is soon made again";
     EXPECT_EQ(texts[0].id, "i1");
     EXPECT_EQ(texts[0].last_event, events);
