--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -71,7 +71,7 @@
     feed retirements;
     feed_hub feeds;
     batch_service batches;
-    weights_keeper weights;
+    weights_updater weights;
     net::http_service peers;
     bool draining = false;
     std::optional<std::vector<std::string>> registered; ///< VMs that the store names
@@ -185,7 +185,7 @@
         log_unreadable(foreign.versions, change.object.name, failure(decoded));
         return;
     }
-    weights.name_version(value(decoded).model, value(decoded).version);
+    weights.require_version(value(decoded).model, value(decoded).version);
 }
 
 void gateway::state::take_header(const object_change& change)
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -12,7 +12,7 @@
 #include "gateway/peer_relay.hpp"
 #include "gateway/target_protocol.hpp"
 #include "gateway/target_registry.hpp"
-#include "gateway/weights_keeper.hpp"
+#include "gateway/weights_updater.hpp"
 #include "policy/stop_plan.hpp"
 
 #include <functional>
--- a/src/gateway/weights_keeper.cpp
+++ b/src/gateway/weights_updater.cpp
@@ -1,4 +1,4 @@
-#include "gateway/weights_keeper.hpp"
+#include "gateway/weights_updater.hpp"
 
 #include "gateway/foreign_json.hpp"
 #include "observe/log.hpp"
@@ -13,26 +13,26 @@
 constexpr const char* lease_kind = "leases";
 constexpr const char* lease_name = "weights";
 
-constexpr milliseconds tend_every{100};
+constexpr milliseconds poll_interval{100};
 
 /// A load takes about a second; then the engine is asked until it reports the version. Its report lags by
 /// some hundred milliseconds, its entry in the store by more than a second.
-constexpr milliseconds usual_load{900};
-constexpr milliseconds look_again{150};
-constexpr milliseconds longest_load{6000};
+constexpr milliseconds expected_load_time{900};
+constexpr milliseconds report_poll_interval{150};
+constexpr milliseconds load_timeout{6000};
 /// An order without an answer may be carried out seconds later.
-constexpr milliseconds unanswered_pause{1500};
-constexpr milliseconds refused_pause{400};
-constexpr milliseconds call_time{1000};
-constexpr std::size_t largest_answer = 1U << 20U;
+constexpr milliseconds unanswered_backoff{1500};
+constexpr milliseconds refused_backoff{400};
+constexpr milliseconds call_timeout{1000};
+constexpr std::size_t max_response_bytes = 1U << 20U;
 /// Of an engine that names no time for idle connections.
-constexpr milliseconds idle_time{4000};
+constexpr milliseconds default_idle_time{4000};
 
 /// Of a lease that does not tell how long its holder waits.
-constexpr milliseconds unknown_wait{10000};
+constexpr milliseconds default_order_delay{10000};
 
 /// More than this between the two clocks means that the machine stood still meanwhile.
-constexpr milliseconds suspended_least{200};
+constexpr milliseconds min_suspension{200};
 
 duration boot_clock()
 {
@@ -45,12 +45,12 @@
                                                std::shared_ptr<net::http_connection> connection,
                                                net::http_request request, time_point until)
 {
-    auto answer = co_await net::exchange(*connection, request, largest_answer, until);
+    auto answer = co_await net::exchange(*connection, request, max_response_bytes, until);
     if (const auto* failed = std::get_if<net::http_failure>(&answer)) {
         co_return error{error_code::unavailable, run_state::in_doubt, failed->detail};
     }
     auto& response = std::get<net::http_response>(answer);
-    engine->pool.give_back(connection, net::idle_time_of(response.fields, idle_time));
+    engine->pool.give_back(connection, net::idle_time_of(response.fields, default_idle_time));
     co_return std::move(response);
 }
 
@@ -60,20 +60,20 @@
     lease.holder = text_or_empty(stored.value, "holder");
     lease.former = text_or_empty(stored.value, "former");
     lease.version = stored.revision;
-    lease.acts_in = milliseconds{whole_or(stored.value, "acts_in_ms", unknown_wait.count())};
+    lease.acts_in = milliseconds{whole_or(stored.value, "acts_in_ms", default_order_delay.count())};
     return lease;
 }
 
 } // namespace
 
-weights_keeper::weights_keeper(net::loop& loop, object_store& store, const fleet_view& fleet,
-                               target_registry& targets, const target_protocol& protocol,
-                               const config::settings& settings,
-                               std::function<const configuration&()> current)
+weights_updater::weights_updater(net::loop& loop, object_store& store, const fleet_view& fleet,
+                                 target_registry& targets, const target_protocol& protocol,
+                                 const config::settings& settings,
+                                 std::function<const configuration&()> current)
     : loop_(loop), store_(store), fleet_(fleet), targets_(targets), protocol_(protocol),
       current_(std::move(current)),
-      holder_(settings.gateway.model_order_holder.empty() ? settings.vm
-                                                          : settings.gateway.model_order_holder),
+      order_holder_(settings.gateway.model_order_holder.empty() ? settings.vm
+                                                                : settings.gateway.model_order_holder),
       self_(settings.vm + "@" + settings.gateway.relay_listen),
       lease_({.self = self_,
               .length = settings.gateway.order_lease * 2 / 3,
@@ -82,35 +82,35 @@
 {
 }
 
-void weights_keeper::start()
+void weights_updater::start()
 {
-    net::start(loop_, tend());
-    net::start(loop_, keep_lease());
+    net::start(loop_, run_loop());
+    net::start(loop_, maintain_lease());
 }
 
-void weights_keeper::stop()
+void weights_updater::stop()
 {
     stopped_ = true;
     const auto now = steady::now();
-    const auto acts_in = lease_.acts_in(now);
+    const auto takeover_wait = lease_.acts_in(now);
     if (const auto held = lease_.give_up(now)) {
-        net::start(loop_, give_lease_up(*held, acts_in));
+        net::start(loop_, release_lease(*held, takeover_wait));
     }
 }
 
 // The condition makes a write that is done late harmless: by then another holds the lease.
-net::task<void> weights_keeper::give_lease_up(std::uint64_t version, milliseconds acts_in)
+net::task<void> weights_updater::release_lease(std::uint64_t version, milliseconds takeover_wait)
 {
-    const nlohmann::json free{{"holder", ""}, {"former", self_}, {"acts_in_ms", acts_in.count()}};
+    const nlohmann::json free{{"holder", ""}, {"former", self_}, {"acts_in_ms", takeover_wait.count()}};
     const auto written = co_await store_.replace(lease_kind, lease_name, free, version);
     observe::log(observe::log_level::info, "lease_given_up",
                  {{"version", static_cast<std::int64_t>(version)},
                   {"outcome", ok(written) ? std::string("done") : describe(failure(written))}});
 }
 
-void weights_keeper::name_version(const std::string& model, std::uint64_t version)
+void weights_updater::require_version(const std::string& model, std::uint64_t version)
 {
-    auto& newest = named_[model];
+    auto& newest = required_versions_[model];
     if (version > newest) {
         newest = version;
         observe::log(observe::log_level::info, "version_named",
@@ -120,15 +120,15 @@
 
 // The steady clock stands still while the machine is suspended, so a holder that wakes believes its lease.
 // The other clock shows the gap; then the lease is read again and waited out like anybody else's.
-bool weights_keeper::was_suspended()
+bool weights_updater::was_suspended()
 {
     const auto gap = boot_clock() - steady::now().time_since_epoch();
-    const bool suspended = gap - clock_gap_ > suspended_least;
+    const bool suspended = gap - clock_gap_ > min_suspension;
     clock_gap_ = gap;
     return suspended;
 }
 
-net::task<void> weights_keeper::tend()
+net::task<void> weights_updater::run_loop()
 {
     while (!stopped_) {
         const auto now = steady::now();
@@ -136,32 +136,32 @@
             observe::log(observe::log_level::warning, "machine_was_suspended", {});
             lease_.on_suspended();
         }
-        choose_candidate(now);
-        order_next(now);
-        co_await net::sleep_for(loop_, tend_every);
+        update_candidate(now);
+        order_loads(now);
+        co_await net::sleep_for(loop_, poll_interval);
     }
 }
 
 // A holder keeps the lease while it can renew it: each change of holder costs seconds without orders.
-void weights_keeper::choose_candidate(time_point now)
+void weights_updater::update_candidate(time_point now)
 {
     const auto holder_vm = lease_.holder().substr(0, lease_.holder().find('@'));
     const auto peers = fleet_.peers();
-    const bool holder_lives = std::any_of(peers.begin(), peers.end(),
+    const bool holder_alive = std::any_of(peers.begin(), peers.end(),
                                           [&](const gateway_peer& peer) { return peer.vm == holder_vm; });
     const auto ranked = fleet_.owners_of(lease_name);
     const bool first = !ranked.empty() && ranked.front() == fleet_.self();
-    const bool holder_went = holder_lives_ && !holder_lives;
-    const bool became_first = first && !first_;
+    const bool holder_went = holder_alive_ && !holder_alive;
+    const bool became_first = first && !ranked_first_;
     if (!lease_.holds(now) && (became_first || (first && holder_went))) {
         lease_.on_doubt();
     }
-    holder_lives_ = holder_lives;
-    first_ = first;
+    holder_alive_ = holder_alive;
+    ranked_first_ = first;
     lease_.on_candidate(!stopped_ && (first || lease_.holds(now) || lease_.names_self()));
 }
 
-net::task<void> weights_keeper::keep_lease()
+net::task<void> weights_updater::maintain_lease()
 {
     while (!stopped_) {
         switch (lease_.next(steady::now())) {
@@ -174,11 +174,11 @@
         case policy::lease_step::none:
             break;
         }
-        co_await net::sleep_for(loop_, tend_every);
+        co_await net::sleep_for(loop_, poll_interval);
     }
 }
 
-net::task<void> weights_keeper::read_lease()
+net::task<void> weights_updater::read_lease()
 {
     const auto stored = co_await store_.read(lease_kind, lease_name);
     const auto now = steady::now();
@@ -193,7 +193,7 @@
     }
 }
 
-net::task<void> weights_keeper::write_lease()
+net::task<void> weights_updater::write_lease()
 {
     const auto requested_at = steady::now();
     const auto revision = lease_.expected_version();
@@ -234,7 +234,7 @@
     }
 }
 
-std::vector<target_ref> weights_keeper::engines_of(const std::string& model) const
+std::vector<target_ref> weights_updater::engines_of(const std::string& model) const
 {
     std::vector<target_ref> engines;
     for (const auto& [name, known] : current_().services) {
@@ -247,7 +247,7 @@
     return engines;
 }
 
-bool weights_keeper::single_version(const std::string& service) const
+bool weights_updater::single_version(const std::string& service) const
 {
     for (const auto& known : current_().routes) {
         const bool leads_there =
@@ -260,14 +260,14 @@
     return false;
 }
 
-void weights_keeper::order_next(time_point now)
+void weights_updater::order_loads(time_point now)
 {
-    if (named_.empty() || !lease_.may_order(now)) {
+    if (required_versions_.empty() || !lease_.may_order(now)) {
         return;
     }
     std::map<std::string, std::map<std::string, std::uint64_t>> newest; // by the models that share engines
     std::map<std::string, std::vector<target_ref>> engines;
-    for (const auto& [model, version] : named_) {
+    for (const auto& [model, version] : required_versions_) {
         auto serving = engines_of(model);
         if (!serving.empty()) {
             const auto service = serving.front()->info.service;
@@ -285,7 +285,7 @@
             }
             view.in_flight = engine->streams;
             view.loading = loading_.contains(view.id);
-            view.resting = now < resting_until_[view.id];
+            view.resting = now < backoff_until_[view.id];
             views.push_back(std::move(view));
         }
         for (const auto& next : policy::plan_loads(views, versions)) {
@@ -295,9 +295,9 @@
     }
 }
 
-net::task_of<engine_report> weights_keeper::ask_report(target_ref engine)
+net::task_of<engine_report> weights_updater::request_report(target_ref engine)
 {
-    const auto until = steady::now() + call_time;
+    const auto until = steady::now() + call_timeout;
     auto taken = co_await engine->pool.take(until);
     if (const auto* failed = std::get_if<net::http_failure>(&taken)) {
         co_return error{error_code::unavailable, run_state::not_run, failed->detail};
@@ -311,9 +311,9 @@
     co_return protocol_.parse_report(value(response));
 }
 
-net::task_of<order_outcome> weights_keeper::send_order(target_ref engine, load_order order)
+net::task_of<order_outcome> weights_updater::send_order(target_ref engine, load_order order)
 {
-    const auto until = steady::now() + call_time;
+    const auto until = steady::now() + call_timeout;
     auto taken = co_await engine->pool.take(until);
     if (const auto* failed = std::get_if<net::http_failure>(&taken)) {
         co_return error{error_code::unavailable, run_state::not_run, failed->detail};
@@ -337,13 +337,13 @@
 // One engine to one version. What the engine reports decides, not what was ordered: an order whose answer was
 // lost may have been taken, or may be taken seconds later, and names the count of orders that it expects, so
 // that a second one cannot be carried out beside it.
-net::task<void> weights_keeper::load(target_ref engine, std::string model, std::uint64_t version)
+net::task<void> weights_updater::load(target_ref engine, std::string model, std::uint64_t version)
 {
     const auto instance_id = engine->info.lifetime();
     const auto began = steady::now();
-    auto pause = refused_pause;
+    auto pause = refused_backoff;
     std::string outcome = "failed";
-    const auto report = co_await ask_report(engine);
+    const auto report = co_await request_report(engine);
     bool ordered = false;
     if (ok(report)) {
         const auto found = value(report).weights.find(model);
@@ -362,11 +362,11 @@
             order.version = version;
             order.mode =
                 single_version(engine->info.service) ? load_mode::finish_first : load_mode::keep_running;
-            order.holder = holder_;
+            order.holder = order_holder_;
             order.expected_orders = value(report).orders_taken;
             const auto answer = co_await send_order(engine, order);
             if (!ok(answer)) {
-                pause = failure(answer).ran == run_state::not_run ? refused_pause : unanswered_pause;
+                pause = failure(answer).ran == run_state::not_run ? refused_backoff : unanswered_backoff;
                 outcome = describe(failure(answer));
             }
             else if (value(answer) == order_outcome::already_done) {
@@ -386,18 +386,18 @@
         outcome = describe(failure(report));
     }
     if (ordered) {
-        co_await net::sleep_for(loop_, usual_load);
+        co_await net::sleep_for(loop_, expected_load_time);
     }
     while (ordered && engine->usable && engine->version_of(model) < version &&
-           steady::now() - began < longest_load) {
-        const auto now_has = co_await ask_report(engine);
+           steady::now() - began < load_timeout) {
+        const auto now_has = co_await request_report(engine);
         if (ok(now_has)) {
             const auto found = value(now_has).weights.find(model);
             engine->saw_version(model,
                                 found == value(now_has).weights.end() ? std::uint64_t{0} : found->second);
         }
         if (engine->version_of(model) < version) {
-            co_await net::sleep_for(loop_, look_again);
+            co_await net::sleep_for(loop_, report_poll_interval);
         }
     }
     observe::log(
@@ -407,7 +407,7 @@
          {"version", static_cast<std::int64_t>(version)},
          {"outcome", outcome},
          {"took_ms", std::int64_t{std::chrono::duration_cast<milliseconds>(steady::now() - began).count()}}});
-    resting_until_[instance_id] = ordered ? time_point{} : steady::now() + pause;
+    backoff_until_[instance_id] = ordered ? time_point{} : steady::now() + pause;
     loading_.erase(instance_id);
 }
 
--- a/src/gateway/weights_keeper.hpp
+++ b/src/gateway/weights_updater.hpp
@@ -1,6 +1,6 @@
 /// Brings engines to the versions of weights that trainers name, from one holder in the fleet at a time.
-#ifndef VANILLAGAUGE_GATEWAY_WEIGHTS_KEEPER_HPP
-#define VANILLAGAUGE_GATEWAY_WEIGHTS_KEEPER_HPP
+#ifndef VANILLAGAUGE_GATEWAY_WEIGHTS_UPDATER_HPP
+#define VANILLAGAUGE_GATEWAY_WEIGHTS_UPDATER_HPP
 
 #include "gateway/configuration.hpp"
 #include "gateway/fleet_view.hpp"
@@ -16,17 +16,17 @@
 
 namespace vanillagauge::gateway {
 
-class weights_keeper {
+class weights_updater {
 public:
     /// `current` tells the configuration in force. All must outlive it.
-    weights_keeper(net::loop& loop, object_store& store, const fleet_view& fleet, target_registry& targets,
-                   const target_protocol& protocol, const config::settings& settings,
-                   std::function<const configuration&()> current);
+    weights_updater(net::loop& loop, object_store& store, const fleet_view& fleet, target_registry& targets,
+                    const target_protocol& protocol, const config::settings& settings,
+                    std::function<const configuration&()> current);
 
     // Commands.
     void start();
     /// A trainer named a version; versions of a model only grow.
-    void name_version(const std::string& model, std::uint64_t version);
+    void require_version(const std::string& model, std::uint64_t version);
     /// Orders nothing any more.
     void stop();
 
@@ -37,27 +37,27 @@
     target_registry& targets_;
     const target_protocol& protocol_;
     std::function<const configuration&()> current_;
-    std::string holder_;
+    std::string order_holder_;
     std::string self_; ///< as the lease names this VM: a replaced one may come back under its name elsewhere
     policy::order_lease lease_;
     duration clock_gap_{0}; ///< between the steady clock and one that runs on while the machine is suspended
-    std::map<std::string, std::uint64_t> named_;
+    std::map<std::string, std::uint64_t> required_versions_;
     std::set<std::string> loading_;                   ///< lifetimes
-    std::map<std::string, time_point> resting_until_; ///< by lifetime
-    bool holder_lives_ = false;                       ///< as the fleet sees it
-    bool first_ = false;                              ///< of those who may follow a holder that is gone
+    std::map<std::string, time_point> backoff_until_; ///< by lifetime
+    bool holder_alive_ = false;                       ///< as the fleet sees it
+    bool ranked_first_ = false;                       ///< of those who may follow a holder that is gone
     bool stopped_ = false;
 
-    net::task<void> tend();
-    void choose_candidate(time_point now);
-    net::task<void> keep_lease();
+    net::task<void> run_loop();
+    void update_candidate(time_point now);
+    net::task<void> maintain_lease();
     net::task<void> read_lease();
     net::task<void> write_lease();
-    net::task<void> give_lease_up(std::uint64_t version, milliseconds acts_in);
-    void order_next(time_point now);
+    net::task<void> release_lease(std::uint64_t version, milliseconds takeover_wait);
+    void order_loads(time_point now);
     std::vector<target_ref> engines_of(const std::string& model) const;
     net::task<void> load(target_ref engine, std::string model, std::uint64_t version);
-    net::task_of<engine_report> ask_report(target_ref engine);
+    net::task_of<engine_report> request_report(target_ref engine);
     net::task_of<order_outcome> send_order(target_ref engine, load_order order);
     bool was_suspended();
     bool single_version(const std::string& service) const;
--- a/tests/gateway/batch_deployment.hpp
+++ b/tests/gateway/batch_deployment.hpp
@@ -64,7 +64,7 @@
     return request;
 }
 
-struct batches : deployment {
+struct batch_deployment : deployment {
     standins::fake_replica& one = add_replica("e1", "lm");
     standins::fake_replica& two = add_replica("e2", "lm");
 
@@ -93,7 +93,7 @@
     }
 };
 
-inline void expect_whole(const std::vector<nlohmann::json>& results)
+inline void expect_complete(const std::vector<nlohmann::json>& results)
 {
     std::set<std::string> ids;
     for (const auto& entry : results) {
--- a/tests/gateway/scored_batch_tests.cpp
+++ b/tests/gateway/scored_batch_tests.cpp
@@ -11,7 +11,7 @@
     return make_batch(id, 1, true);
 }
 
-struct scored_batches : batches {
+struct scored_deployment : batch_deployment {
     standins::fake_replica& scorer = add_replica("s1", "plain");
 
     std::vector<standins::seen_request> scoring_runs()
@@ -22,7 +22,7 @@
 
 void expect_scored(const std::vector<json>& results, const std::string& score)
 {
-    expect_whole(results);
+    expect_complete(results);
     for (const auto& entry : results) {
         EXPECT_EQ(entry.value("Score", std::string()), score) << entry;
     }
@@ -30,11 +30,11 @@
 
 TEST(scored_batches, list_each_result_with_its_score)
 {
-    scored_batches all;
-    auto& served = all.ready_gateway("a");
-    EXPECT_EQ(all.status_of(served.address(), make_scored("b1")), 202);
-    expect_scored(all.read_all({served.address()}, "b1"), "stamp-s1");
-    const auto runs = all.scoring_runs();
+    scored_deployment cluster;
+    auto& served = cluster.ready_gateway("a");
+    EXPECT_EQ(cluster.status_of(served.address(), make_scored("b1")), 202);
+    expect_scored(cluster.read_all({served.address()}, "b1"), "stamp-s1");
+    const auto runs = cluster.scoring_runs();
     ASSERT_EQ(runs.size(), item_count);
     for (const auto& run : runs) {
         EXPECT_EQ(run.method, "POST");
@@ -48,30 +48,30 @@
 // answers becomes a score.
 TEST(scored_batches, make_a_call_again_that_brought_no_score)
 {
-    scored_batches all;
-    auto& served = all.ready_gateway("a");
-    all.change([&](standins::fake_store&) {
-        all.scorer.script = {replica_fault::reset, replica_fault::shed, replica_fault::other_attempt,
-                             replica_fault::no_stamp, replica_fault::fail};
+    scored_deployment cluster;
+    auto& served = cluster.ready_gateway("a");
+    cluster.change([&](standins::fake_store&) {
+        cluster.scorer.script = {replica_fault::reset, replica_fault::shed, replica_fault::other_attempt,
+                                 replica_fault::no_stamp, replica_fault::fail};
     });
-    EXPECT_EQ(all.status_of(served.address(), make_scored("b1")), 202);
-    expect_scored(all.read_all({served.address()}, "b1"), "stamp-s1");
+    EXPECT_EQ(cluster.status_of(served.address(), make_scored("b1")), 202);
+    expect_scored(cluster.read_all({served.address()}, "b1"), "stamp-s1");
 }
 
 // One call is answered 500 each time. Its item ends as terminated after the attempts that the route allows,
 // so that the trainer hears of it; the others are not held up.
 TEST(scored_batches, end_an_item_whose_call_fails_for_good)
 {
-    scored_batches all;
-    auto& served = all.ready_gateway("a");
-    all.change([&](standins::fake_store&) { all.scorer.always_fail = {"b1-s2"}; });
-    EXPECT_EQ(all.status_of(served.address(), make_scored("b1")), 202);
-    for (const auto& entry : all.read_all({served.address()}, "b1")) {
+    scored_deployment cluster;
+    auto& served = cluster.ready_gateway("a");
+    cluster.change([&](standins::fake_store&) { cluster.scorer.always_fail = {"b1-s2"}; });
+    EXPECT_EQ(cluster.status_of(served.address(), make_scored("b1")), 202);
+    for (const auto& entry : cluster.read_all({served.address()}, "b1")) {
         const bool failed = entry["Id"] == "b1-i2";
         EXPECT_EQ(entry["State"], failed ? "terminated" : "completed");
         EXPECT_EQ(entry.contains("Score"), !failed);
     }
-    const auto runs = all.scoring_runs();
+    const auto runs = cluster.scoring_runs();
     EXPECT_EQ(std::count_if(runs.begin(), runs.end(),
                             [](const standins::seen_request& run) { return run.attempt_id == "b1-s2"; }),
               3);
@@ -81,56 +81,56 @@
 // score; once a replica is there, everything is.
 TEST(scored_batches, wait_for_a_scoring_service_that_is_away)
 {
-    scored_batches all;
-    all.put_replica(all.scorer, "plain", "draining");
-    auto& served = all.ready_gateway("a");
-    EXPECT_EQ(all.status_of(served.address(), make_scored("b1")), 202);
+    scored_deployment cluster;
+    cluster.put_replica(cluster.scorer, "plain", "draining");
+    auto& served = cluster.ready_gateway("a");
+    EXPECT_EQ(cluster.status_of(served.address(), make_scored("b1")), 202);
     std::this_thread::sleep_for(milliseconds(700));
-    EXPECT_TRUE(all.body_of(served.address(), make_read("b1", 0))["Results"].empty());
-    all.put_replica(all.scorer, "plain", "ready");
-    expect_scored(all.read_all({served.address()}, "b1"), "stamp-s1");
+    EXPECT_TRUE(cluster.body_of(served.address(), make_read("b1", 0))["Results"].empty());
+    cluster.put_replica(cluster.scorer, "plain", "ready");
+    expect_scored(cluster.read_all({served.address()}, "b1"), "stamp-s1");
 }
 
 // The owner dies after the texts are whole and before they are scored. Another gateway makes both again.
 TEST(scored_batches, are_scored_by_another_gateway_when_their_own_dies_before_it)
 {
-    scored_batches all;
-    auto& first = all.ready_gateway("a");
-    auto& second = all.ready_gateway("b");
-    all.change([&](standins::fake_store&) { all.scorer.work_time = milliseconds(500); });
-    EXPECT_EQ(all.status_of(first.address(), make_scored("b1")), 202);
-    EXPECT_TRUE(deployment::eventually([&] { return !all.scoring_runs().empty(); }));
+    scored_deployment cluster;
+    auto& first = cluster.ready_gateway("a");
+    auto& second = cluster.ready_gateway("b");
+    cluster.change([&](standins::fake_store&) { cluster.scorer.work_time = milliseconds(500); });
+    EXPECT_EQ(cluster.status_of(first.address(), make_scored("b1")), 202);
+    EXPECT_TRUE(deployment::eventually([&] { return !cluster.scoring_runs().empty(); }));
     first.kill();
-    all.change([&](standins::fake_store&) { all.scorer.work_time = milliseconds(0); });
-    expect_scored(all.read_all({second.address()}, "b1"), "stamp-s1");
+    cluster.change([&](standins::fake_store&) { cluster.scorer.work_time = milliseconds(0); });
+    expect_scored(cluster.read_all({second.address()}, "b1"), "stamp-s1");
 }
 
 // The trainer ends the batch while its calls wait for places at a busy replica. None of them begins any more.
 TEST(scored_batches, make_no_call_after_their_end)
 {
-    scored_batches all;
-    auto& served = all.ready_gateway("a");
-    all.change([&](standins::fake_store&) { all.scorer.work_time = milliseconds(400); });
-    EXPECT_EQ(all.status_of(served.address(), make_scored("b1")), 202);
-    EXPECT_TRUE(deployment::eventually([&] { return !all.scoring_runs().empty(); }));
-    EXPECT_EQ(all.status_of(served.address(), make_end("b1")), 200);
-    const auto before = all.scoring_runs().size();
+    scored_deployment cluster;
+    auto& served = cluster.ready_gateway("a");
+    cluster.change([&](standins::fake_store&) { cluster.scorer.work_time = milliseconds(400); });
+    EXPECT_EQ(cluster.status_of(served.address(), make_scored("b1")), 202);
+    EXPECT_TRUE(deployment::eventually([&] { return !cluster.scoring_runs().empty(); }));
+    EXPECT_EQ(cluster.status_of(served.address(), make_end("b1")), 200);
+    const auto before = cluster.scoring_runs().size();
     EXPECT_LT(before, item_count);
     std::this_thread::sleep_for(milliseconds(900));
-    EXPECT_EQ(all.scoring_runs().size(), before);
+    EXPECT_EQ(cluster.scoring_runs().size(), before);
 }
 
 // Six texts are whole at once and a replica of four slots takes a while for each call. The calls take one of
 // its slots; callers have the others to themselves.
 TEST(scored_batches, leave_places_to_callers)
 {
-    scored_batches all;
-    auto& served = all.ready_gateway("a");
+    scored_deployment cluster;
+    auto& served = cluster.ready_gateway("a");
     constexpr milliseconds work{120};
-    all.change([&](standins::fake_store&) { all.scorer.work_time = work; });
-    EXPECT_EQ(all.status_of(served.address(), make_scored("b1")), 202);
-    expect_scored(all.read_all({served.address()}, "b1"), "stamp-s1");
-    const auto runs = all.scoring_runs();
+    cluster.change([&](standins::fake_store&) { cluster.scorer.work_time = work; });
+    EXPECT_EQ(cluster.status_of(served.address(), make_scored("b1")), 202);
+    expect_scored(cluster.read_all({served.address()}, "b1"), "stamp-s1");
+    const auto runs = cluster.scoring_runs();
     ASSERT_EQ(runs.size(), item_count);
     for (std::size_t index = 1; index < runs.size(); ++index) {
         EXPECT_GE(runs[index].at - runs[index - 1].at, work);
@@ -140,17 +140,18 @@
 // No route leads to the scoring call. The trainer is told so at once, and that nothing runs.
 TEST(scored_batches, are_refused_where_no_route_leads_to_a_scoring_call)
 {
-    scored_batches all;
-    auto& served = all.ready_gateway("a");
+    scored_deployment cluster;
+    auto& served = cluster.ready_gateway("a");
     auto request = make_scored("b1");
     auto body = json::parse(request.body);
     body["Items"][3]["ScoringFunction"]["Host"] = "elsewhere";
     request.body = body.dump();
-    const auto outcome = all.send(served.address(), std::move(request));
+    const auto outcome = cluster.send(served.address(), std::move(request));
     const auto& response = std::get<net::http_response>(outcome);
     EXPECT_EQ(response.status, 503);
     EXPECT_NE(json::parse(response.body)["detail"].get<std::string>().find("b1-s3"), std::string::npos);
-    EXPECT_EQ(all.look<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }), 0U);
+    EXPECT_EQ(cluster.look<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }),
+              0U);
 }
 
 } // namespace
--- a/tests/stop/batch_at_stop_tests.cpp
+++ b/tests/stop/batch_at_stop_tests.cpp
@@ -11,7 +11,7 @@
 // Guards against a batch that stands still until the gateway which accepted it has ended.
 TEST(batch_at_stop, runs_elsewhere_before_the_stop_is_over)
 {
-    batches all;
+    batch_deployment all;
     auto& stopping = all.ready_gateway("a");
     auto& other = all.ready_gateway("b");
     ASSERT_TRUE(deployment::eventually([&] {
@@ -28,7 +28,7 @@
     const auto results = all.read_all({other.address()}, "b1");
     EXPECT_FALSE(stopped);
     stop.join();
-    expect_whole(results);
+    expect_complete(results);
 }
 
 } // namespace
