--- a/src/gateway/batch.cpp
+++ b/src/gateway/batch.cpp
@@ -66,14 +66,14 @@
     return item;
 }
 
-error unreadable(std::string what)
+error decode_error(std::string what)
 {
     return {error_code::invalid_argument, run_state::not_run, std::move(what)};
 }
 
 } // namespace
 
-std::string log_kind(const std::string& batch)
+std::string results_kind(const std::string& batch)
 {
     return "results-" + batch;
 }
@@ -98,7 +98,7 @@
             {"model", header.model},
             {"owner", header.owner_vm},
             {"incarnation", header.owner_incarnation},
-            {"least_version", header.least_version},
+            {"least_version", header.min_version},
             {"step", header.step},
             {"total", header.total},
             {"wanted_groups", header.wanted_groups},
@@ -113,7 +113,7 @@
 result<batch_header> header_from_json(const std::string& id, const json& value, const json& status)
 {
     return decoded<batch_header>(
-        value, unreadable("the batch " + id), [&](const json& from) -> result<batch_header> {
+        value, decode_error("the batch " + id), [&](const json& from) -> result<batch_header> {
             batch_header header;
             header.id = id;
             header.host = from.at("host").get<std::string>();
@@ -122,7 +122,7 @@
             header.model = from.at("model").get<std::string>();
             header.owner_vm = from.at("owner").get<std::string>();
             header.owner_incarnation = from.at("incarnation").get<std::uint64_t>();
-            header.least_version = from.at("least_version").get<std::uint64_t>();
+            header.min_version = from.at("least_version").get<std::uint64_t>();
             header.step = from.at("step").get<std::uint64_t>();
             header.total = from.at("total").get<std::size_t>();
             header.wanted_groups = from.at("wanted_groups").get<std::size_t>();
@@ -137,7 +137,7 @@
         });
 }
 
-json to_json(const log_segment& segment)
+json to_json(const result_segment& segment)
 {
     json results = json::array();
     for (const auto& entry : segment.results) {
@@ -153,11 +153,11 @@
     return {{"writer", segment.writer}, {"results", std::move(results)}};
 }
 
-result<log_segment> segment_from_json(const std::string& name, const json& value)
+result<result_segment> segment_from_json(const std::string& name, const json& value)
 {
-    return decoded<log_segment>(
-        value, unreadable("the segment " + name), [&](const json& from) -> result<log_segment> {
-            log_segment segment;
+    return decoded<result_segment>(
+        value, decode_error("the segment " + name), [&](const json& from) -> result<result_segment> {
+            result_segment segment;
             const auto parsed = std::from_chars(name.data(), name.data() + name.size(), segment.first);
             if (parsed.ec != std::errc{}) {
                 return error{error_code::invalid_argument, run_state::not_run,
@@ -178,11 +178,11 @@
         });
 }
 
-std::vector<json> to_parts(const std::vector<batch_item>& items, std::size_t most_bytes)
+std::vector<json> to_parts(const std::vector<batch_item>& items, std::size_t max_bytes)
 {
     constexpr std::size_t other_bytes = 400; // ids, names and punctuation of an item
     std::vector<json> parts;
-    std::size_t filled = most_bytes;
+    std::size_t filled = max_bytes;
     for (const auto& item : items) {
         auto size = item.body_base64.size() + item.path.size() + other_bytes;
         for (const auto& field : item.fields) {
@@ -191,7 +191,7 @@
         if (item.scoring) {
             size += item.scoring->body_base64.size() + item.scoring->path.size() + other_bytes;
         }
-        if (parts.empty() || filled + size > most_bytes) {
+        if (parts.empty() || filled + size > max_bytes) {
             parts.push_back({{"items", json::array()}});
             filled = 0;
         }
@@ -203,7 +203,7 @@
 
 result<std::vector<batch_item>> items_from_json(const json& part)
 {
-    return decoded<std::vector<batch_item>>(part, unreadable("a batch's items"),
+    return decoded<std::vector<batch_item>>(part, decode_error("a batch's items"),
                                             [&](const json& from) -> result<std::vector<batch_item>> {
                                                 std::vector<batch_item> items;
                                                 for (const auto& entry : from.at("items")) {
--- a/src/gateway/batch_progress.cpp
+++ b/src/gateway/batch_progress.cpp
@@ -9,7 +9,7 @@
     : header_(std::move(header))
 {
     for (auto& item : items) {
-        places_[item.id] = items_.size();
+        index_by_id_[item.id] = items_.size();
         ++open_in_group_[item.group];
         items_.push_back({std::move(item)});
     }
@@ -31,25 +31,25 @@
 
 // Positions are facts once their segment stands in the store. A result of this owner for an item that another
 // owner listed first is dropped: the trainer has read the other one, or will.
-void batch_progress::take_segment(const log_segment& segment)
+void batch_progress::apply_segment(const result_segment& segment)
 {
-    if (segment.first != listed_) {
+    if (segment.first != published_) {
         return;
     }
-    listed_ += segment.results.size();
-    for (const auto& listed : segment.results) {
-        const auto found = places_.find(listed.id);
-        if (found == places_.end()) {
+    published_ += segment.results.size();
+    for (const auto& published : segment.results) {
+        const auto found = index_by_id_.find(published.id);
+        if (found == index_by_id_.end()) {
             continue;
         }
         auto& entry = items_[found->second];
         if (entry.state == work_state::finished) {
             --finished_;
         }
-        else if (entry.state != work_state::listed) {
+        else if (entry.state != work_state::published) {
             close_in_group(entry);
         }
-        entry.state = work_state::listed;
+        entry.state = work_state::published;
         entry.text.clear();
         entry.text.shrink_to_fit();
         entry.result = {};
@@ -57,52 +57,52 @@
     writing_ = false;
 }
 
-run_break batch_progress::begin_run(std::size_t place, std::uint64_t version)
+run_rejection batch_progress::begin_run(std::size_t index, std::uint64_t version)
 {
-    auto& entry = items_[place];
+    auto& entry = items_[index];
     // Another owner may have listed the item while this run was being opened; a position never changes.
     if (entry.state != work_state::running) {
-        return run_break::not_wanted;
+        return run_rejection::not_running;
     }
-    if (version < header_.least_version) {
-        return run_break::old_weights;
+    if (version < header_.min_version) {
+        return run_rejection::old_weights;
     }
     const bool mixes = !entry.versions.empty() && !entry.versions.contains(version);
     if (header_.single_version && mixes) {
-        return run_break::mixed_weights;
+        return run_rejection::mixed_weights;
     }
     entry.current_version = version;
-    return run_break::none;
+    return run_rejection::none;
 }
 
-run_break batch_progress::take_event(std::size_t place, const net::stream_event& event,
-                                     std::optional<std::uint64_t> new_version)
+run_rejection batch_progress::append_event(std::size_t index, const net::stream_event& event,
+                                           std::optional<std::uint64_t> new_version)
 {
-    auto& entry = items_[place];
+    auto& entry = items_[index];
     if (event.id && entry.last_event && *event.id != *entry.last_event + 1) {
-        return run_break::wrong_event;
+        return run_rejection::wrong_event;
     }
     if (new_version) {
         entry.current_version = *new_version;
     }
-    if (entry.current_version < header_.least_version) {
-        return run_break::old_weights;
+    if (entry.current_version < header_.min_version) {
+        return run_rejection::old_weights;
     }
     if (header_.single_version && !entry.versions.empty() &&
         !entry.versions.contains(entry.current_version)) {
-        return run_break::mixed_weights;
+        return run_rejection::mixed_weights;
     }
     entry.text += entry.events > 0 ? "\n" : "";
     entry.text += event.data;
     ++entry.events;
     entry.versions.insert(entry.current_version);
     entry.last_event = event.id ? event.id : entry.last_event;
-    return run_break::none;
+    return run_rejection::none;
 }
 
-void batch_progress::start(std::size_t place)
+void batch_progress::start(std::size_t index)
 {
-    auto& entry = items_[place];
+    auto& entry = items_[index];
     if (entry.state == work_state::waiting) {
         entry.state = work_state::running;
         ++entry.runs;
@@ -110,10 +110,11 @@
 }
 
 // Texts made under weights that are too old for the batch are of no use.
-void batch_progress::take_text(const item_text& text)
+void batch_progress::restore_text(const saved_text& text)
 {
-    const auto found = places_.find(text.id);
-    if (found == places_.end() || text.versions.empty() || *text.versions.begin() < header_.least_version) {
+    const auto found = index_by_id_.find(text.id);
+    if (found == index_by_id_.end() || text.versions.empty() ||
+        *text.versions.begin() < header_.min_version) {
         return;
     }
     auto& entry = items_[found->second];
@@ -125,38 +126,38 @@
     entry.events = text.events;
     entry.last_event = text.last_event;
     entry.versions = text.versions;
-    if (text.whole) {
+    if (text.complete) {
         entry.state = work_state::running;
         complete(found->second);
     }
 }
 
-std::optional<item_text> batch_progress::text_of(std::size_t place) const
+std::optional<saved_text> batch_progress::text_to_save(std::size_t index) const
 {
-    const auto& entry = items_[place];
-    const bool made = entry.events > 0 && entry.state != work_state::listed;
+    const auto& entry = items_[index];
+    const bool made = entry.events > 0 && entry.state != work_state::published;
     if (!made || (entry.state == work_state::finished && entry.result.state == item_state::terminated)) {
         return std::nullopt;
     }
     const bool finished = entry.state == work_state::finished;
-    return item_text{entry.item.id,  finished ? entry.result.text : entry.text,
-                     entry.events,   entry.last_event,
-                     entry.versions, finished || entry.state == work_state::scoring};
+    return saved_text{entry.item.id,  finished ? entry.result.text : entry.text,
+                      entry.events,   entry.last_event,
+                      entry.versions, finished || entry.state == work_state::scoring};
 }
 
-void batch_progress::restart(std::size_t place)
+void batch_progress::discard_text(std::size_t index)
 {
-    auto& entry = items_[place];
+    auto& entry = items_[index];
     entry.text.clear();
     entry.events = 0;
     entry.last_event.reset();
     entry.versions.clear();
 }
 
-void batch_progress::finish(std::size_t place, item_result result)
+void batch_progress::finish(std::size_t index, item_result result)
 {
-    auto& entry = items_[place];
-    if (entry.state == work_state::listed || entry.state == work_state::finished) {
+    auto& entry = items_[index];
+    if (entry.state == work_state::published || entry.state == work_state::finished) {
         return;
     }
     close_in_group(entry);
@@ -165,27 +166,27 @@
     ++finished_;
 }
 
-void batch_progress::complete(std::size_t place)
+void batch_progress::complete(std::size_t index)
 {
-    auto& entry = items_[place];
+    auto& entry = items_[index];
     if (entry.item.scoring && entry.state == work_state::running) {
         entry.state = work_state::scoring;
         return;
     }
-    finish_completed(place, {});
+    finish_completed(index, {});
 }
 
-void batch_progress::take_score(std::size_t place, const std::string& score)
+void batch_progress::set_score(std::size_t index, const std::string& score)
 {
-    if (items_[place].state == work_state::scoring) {
-        finish_completed(place, score);
+    if (items_[index].state == work_state::scoring) {
+        finish_completed(index, score);
     }
 }
 
-void batch_progress::finish_completed(std::size_t place, const std::string& score)
+void batch_progress::finish_completed(std::size_t index, const std::string& score)
 {
-    auto& entry = items_[place];
-    finish(place, {entry.item.id,
+    auto& entry = items_[index];
+    finish(index, {entry.item.id,
                    item_state::completed,
                    std::move(entry.text),
                    {entry.versions.begin(), entry.versions.end()},
@@ -193,15 +194,15 @@
     entry.text.clear();
 }
 
-void batch_progress::terminate(std::size_t place)
+void batch_progress::terminate(std::size_t index)
 {
-    finish(place, {items_[place].item.id, item_state::terminated, {}, {}, {}});
-    items_[place].text.clear();
+    finish(index, {items_[index].item.id, item_state::terminated, {}, {}, {}});
+    items_[index].text.clear();
 }
 
-void batch_progress::release(std::size_t place, time_point not_before, const std::string& avoid)
+void batch_progress::release(std::size_t index, time_point not_before, const std::string& avoid)
 {
-    auto& entry = items_[place];
+    auto& entry = items_[index];
     if (entry.state == work_state::running) {
         entry.state = work_state::waiting;
         entry.not_before = not_before;
@@ -209,21 +210,21 @@
     }
 }
 
-bool batch_progress::fail_attempt(std::size_t place)
+bool batch_progress::fail_attempt(std::size_t index)
 {
-    restart(place);
-    return ++items_[place].failures >= header_.attempts;
+    discard_text(index);
+    return ++items_[index].failures >= header_.attempts;
 }
 
-std::optional<log_segment> batch_progress::next_segment(const std::string& writer)
+std::optional<result_segment> batch_progress::next_segment(const std::string& writer)
 {
     if (writing_ || finished_ == 0) {
         return std::nullopt;
     }
     // A segment must fit into one object of the store, and a reader's answer.
-    constexpr std::size_t most_bytes = 600U << 10U;
-    log_segment segment;
-    segment.first = listed_;
+    constexpr std::size_t max_bytes = 600U << 10U;
+    result_segment segment;
+    segment.first = published_;
     segment.writer = writer;
     std::size_t bytes = 0;
     for (const auto& entry : items_) {
@@ -231,7 +232,7 @@
             continue;
         }
         bytes += entry.result.text.size() + entry.result.id.size() + 64;
-        if (bytes > most_bytes && !segment.results.empty()) {
+        if (bytes > max_bytes && !segment.results.empty()) {
             break;
         }
         segment.results.push_back(entry.result);
@@ -240,12 +241,12 @@
     return segment;
 }
 
-std::size_t batch_progress::open_in_group(std::size_t place) const
+std::size_t batch_progress::open_in_group(std::size_t index) const
 {
-    return open_in_group_.at(items_[place].item.group);
+    return open_in_group_.at(items_[index].item.group);
 }
 
-bool batch_progress::group_waits() const
+bool batch_progress::has_complete_group() const
 {
     return std::any_of(items_.begin(), items_.end(), [this](const item_progress& entry) {
         return entry.state == work_state::finished && open_in_group_.at(entry.item.group) == 0;
--- a/src/gateway/batch_runner.cpp
+++ b/src/gateway/batch_runner.cpp
@@ -10,22 +10,22 @@
 namespace {
 
 /// How often a batch looks at what is late, silent or to be listed.
-constexpr milliseconds look_every{50};
+constexpr milliseconds poll_interval{50};
 
 /// Between two writes of results. Trainers read about twice a second; a write costs a call.
-constexpr milliseconds list_every{400};
+constexpr milliseconds publish_interval{400};
 /// A result whose group is not whole waits this long for others to be listed with it.
-constexpr milliseconds list_wait{600};
+constexpr milliseconds publish_delay{600};
 
 /// A gateway that has just started knows nobody else yet and would take every batch for its own. After a loss
 /// of power of the whole fleet all fronts would run each open batch, and the steps behind them would come
 /// late. Members find each other within this time.
-constexpr milliseconds view_settles{1500};
+constexpr milliseconds discovery_time{1500};
 
-constexpr milliseconds store_retry{300};
+constexpr milliseconds store_retry_delay{300};
 
 /// A run's work that is lost with its owner at most, but for the time of the write.
-constexpr milliseconds keep_texts_every{1000};
+constexpr milliseconds text_save_interval{1000};
 
 } // namespace
 
@@ -37,9 +37,9 @@
 {
 }
 
-void batch_runner::keep_items(const std::string& batch, std::vector<batch_item> items)
+void batch_runner::cache_items(const std::string& batch, std::vector<batch_item> items)
 {
-    kept_items_[batch] = std::move(items);
+    cached_items_[batch] = std::move(items);
 }
 
 const batch_header* batch_runner::find(const std::string& batch) const
@@ -50,34 +50,34 @@
 
 // The gateway that accepted a batch runs it. When that process is gone, one of the others does, the same by
 // every view that agrees on the members. Two that run it waste work and cannot list an item twice.
-bool batch_runner::is_mine(const batch_header& header) const
+bool batch_runner::owned_here(const batch_header& header) const
 {
     if (fleet_.lives(header.owner_vm, header.owner_incarnation)) {
         return header.owner_vm == fleet_.self();
     }
-    if (!view_whole_ && steady::now() - started_ < view_settles) {
+    if (!view_complete_ && steady::now() - started_ < discovery_time) {
         return false;
     }
     const auto ranked = fleet_.owners_of(header.id);
     return !ranked.empty() && ranked.front() == fleet_.self();
 }
 
-void batch_runner::take_header(const batch_header& header)
+void batch_runner::update_header(const batch_header& header)
 {
     headers_[header.id] = header;
     const auto found = active_.find(header.id);
     if (header.ended) {
-        kept_items_.erase(header.id);
+        cached_items_.erase(header.id);
         finished_.erase(header.id);
         if (found != active_.end() && found->second) {
             end(found->second, "ended by its trainer");
         }
         return;
     }
-    if (found != active_.end() && found->second && !found->second->accepted) {
-        accept_ahead(found->second, header);
+    if (found != active_.end() && found->second && !found->second->stored) {
+        confirm_speculative(found->second, header);
     }
-    if (!active_.contains(header.id) && !finished_.contains(header.id) && is_mine(header)) {
+    if (!active_.contains(header.id) && !finished_.contains(header.id) && owned_here(header)) {
         start(header);
     }
 }
@@ -85,43 +85,43 @@
 // Failure: the store is away for everybody when a step is submitted. Waited for, the step begins seconds late
 // and its trainer never makes them up. What it costs to be wrong is the engines' work: nothing is listed, and
 // nobody is told that the batch stands, before the store has it.
-void batch_runner::run_ahead(const batch_header& header, std::vector<batch_item> items)
+void batch_runner::run_speculative(const batch_header& header, std::vector<batch_item> items)
 {
-    if (!taking_ || active_.contains(header.id) || finished_.contains(header.id)) {
+    if (!starts_batches_ || active_.contains(header.id) || finished_.contains(header.id)) {
         return;
     }
-    const auto batch = std::make_shared<run>(loop_, store_, header, std::move(items));
-    batch->give_up_at = header.accepted + header.max_age;
-    batch->accepted = false;
+    const auto batch = std::make_shared<batch_run>(loop_, store_, header, std::move(items));
+    batch->expires_at = header.accepted + header.max_age;
+    batch->stored = false;
     active_[header.id] = batch;
     observe::log(observe::log_level::info, "batch_run_ahead",
                  {{"batch", header.id}, {"items", static_cast<std::int64_t>(header.total)}});
-    net::start(loop_, work_through(batch));
+    net::start(loop_, run_until_done(batch));
 }
 
-void batch_runner::accept_ahead(const run_ref& batch, const batch_header& header)
+void batch_runner::confirm_speculative(const batch_run_ref& batch, const batch_header& header)
 {
     if (header.owner_vm == fleet_.self() && header.owner_incarnation == fleet_.incarnation()) {
-        batch->accepted = true;
+        batch->stored = true;
         batch->changed.notify();
         return;
     }
     end(batch, "another gateway runs it");
 }
 
-void batch_runner::drop_ahead(const std::string& batch)
+void batch_runner::drop_speculative(const std::string& batch)
 {
     const auto found = active_.find(batch);
-    if (found != active_.end() && found->second && !found->second->accepted) {
+    if (found != active_.end() && found->second && !found->second->stored) {
         const auto held = found->second;
         end(held, "it was not accepted");
     }
 }
 
-void batch_runner::review()
+void batch_runner::review_ownership()
 {
     for (const auto& [id, header] : headers_) {
-        if (!header.ended && !finished_.contains(id) && !active_.contains(id) && is_mine(header)) {
+        if (!header.ended && !finished_.contains(id) && !active_.contains(id) && owned_here(header)) {
             start(header);
         }
     }
@@ -129,7 +129,7 @@
 
 void batch_runner::start(const batch_header& header)
 {
-    if (!taking_) {
+    if (!starts_batches_) {
         return;
     }
     active_[header.id] = nullptr;
@@ -138,51 +138,51 @@
                   {"step", static_cast<std::int64_t>(header.step)},
                   {"items", static_cast<std::int64_t>(header.total)},
                   {"accepted_by", header.owner_vm},
-                  {"least_version", static_cast<std::int64_t>(header.least_version)}});
-    net::start(loop_, drive(header));
+                  {"least_version", static_cast<std::int64_t>(header.min_version)}});
+    net::start(loop_, load_and_run(header));
 }
 
 net::task_of<std::vector<batch_item>> batch_runner::load_items(const batch_header& header)
 {
-    const auto kept = kept_items_.find(header.id);
-    if (kept != kept_items_.end()) {
-        auto items = std::move(kept->second);
-        kept_items_.erase(kept);
+    const auto cached = cached_items_.find(header.id);
+    if (cached != cached_items_.end()) {
+        auto items = std::move(cached->second);
+        cached_items_.erase(cached);
         co_return items;
     }
     co_return co_await read_items(store_, header);
 }
 
-net::task<bool> batch_runner::load_log(run& batch)
+net::task<bool> batch_runner::load_results(batch_run& batch)
 {
     const auto page = co_await read_segments(store_, batch.progress.header().id, {});
     if (!ok(page)) {
         co_return false;
     }
     for (const auto& segment : value(page).segments) {
-        batch.progress.take_segment(segment);
+        batch.progress.apply_segment(segment);
     }
     co_return true;
 }
 
 // What an earlier owner kept of the texts. Without it the items are made from their start.
-net::task<void> batch_runner::load_texts(run_ref batch)
+net::task<void> batch_runner::load_texts(batch_run_ref batch)
 {
-    const auto kept = co_await batch->texts.kept();
+    const auto saved = co_await batch->texts.load();
     std::size_t events = 0;
-    if (ok(kept)) {
-        for (const auto& text : value(kept)) {
-            batch->progress.take_text(text);
+    if (ok(saved)) {
+        for (const auto& text : value(saved)) {
+            batch->progress.restore_text(text);
             events += text.events;
         }
     }
     observe::log(observe::log_level::info, "texts_taken_over",
                  {{"batch", batch->progress.header().id},
                   {"events", static_cast<std::int64_t>(events)},
-                  {"outcome", ok(kept) ? std::string("read") : describe(failure(kept))}});
-    for (std::size_t place = 0; place < batch->progress.items().size(); ++place) {
-        if (batch->progress.items()[place].state == work_state::scoring) {
-            net::start(loop_, score_item(batch, place));
+                  {"outcome", ok(saved) ? std::string("read") : describe(failure(saved))}});
+    for (std::size_t index = 0; index < batch->progress.items().size(); ++index) {
+        if (batch->progress.items()[index].state == work_state::scoring) {
+            net::start(loop_, score_item(batch, index));
         }
     }
 }
@@ -190,41 +190,41 @@
 // Failure: the owner dies while long items run, and its successor makes each of them from its start: a step
 // that was nearly whole takes its whole time again and its trainer falls behind for good. What the owner has
 // made is kept in the store, so the successor loses about the time between two writes.
-void batch_runner::keep_texts(const run_ref& batch)
+void batch_runner::save_texts(const batch_run_ref& batch)
 {
     const auto now = steady::now();
-    const bool due = std::any_of(batch->streams.begin(), batch->streams.end(), [&](const auto& entry) {
-        const auto& open = entry.second;
-        return open->heard && now - std::max(open->began, batch->texts_kept) >= keep_texts_every;
+    const bool due = std::any_of(batch->item_runs.begin(), batch->item_runs.end(), [&](const auto& entry) {
+        const auto& run = entry.second;
+        return run->received_event && now - std::max(run->began, batch->texts_saved_at) >= text_save_interval;
     });
-    if (due && batch->accepted && !batch->keeping_texts) {
-        batch->keeping_texts = true;
+    if (due && batch->stored && !batch->saving_texts) {
+        batch->saving_texts = true;
         net::start(loop_, write_texts(batch));
     }
 }
 
-net::task<void> batch_runner::write_texts(run_ref batch)
+net::task<void> batch_runner::write_texts(batch_run_ref batch)
 {
     const auto made = steady::now();
-    auto texts = texts_to_keep(batch->progress);
+    auto texts = texts_to_save(batch->progress);
     const auto count = static_cast<std::int64_t>(texts.size());
-    const auto kept = co_await batch->texts.keep(std::move(texts));
-    batch->texts_kept = made;
-    batch->keeping_texts = false;
-    observe::log(ok(kept) ? observe::log_level::info : observe::log_level::warning, "texts_kept",
+    const auto saved = co_await batch->texts.save(std::move(texts));
+    batch->texts_saved_at = made;
+    batch->saving_texts = false;
+    observe::log(ok(saved) ? observe::log_level::info : observe::log_level::warning, "texts_kept",
                  {{"batch", batch->progress.header().id},
                   {"texts", count},
-                  {"outcome", ok(kept) ? std::string("done") : describe(failure(kept))}});
+                  {"outcome", ok(saved) ? std::string("done") : describe(failure(saved))}});
 }
 
-net::task<void> batch_runner::drive(batch_header header)
+net::task<void> batch_runner::load_and_run(batch_header header)
 {
-    const bool fresh = kept_items_.contains(header.id);
+    const bool fresh = cached_items_.contains(header.id);
     auto items = co_await load_items(header);
     while (!ok(items)) {
         observe::log(observe::log_level::warning, "batch_items_unread",
                      {{"batch", header.id}, {"why", describe(failure(items))}});
-        co_await net::sleep_for(loop_, store_retry);
+        co_await net::sleep_for(loop_, store_retry_delay);
         const auto* now_known = find(header.id);
         if (now_known != nullptr && now_known->ended) {
             active_.erase(header.id);
@@ -232,13 +232,13 @@
         }
         items = co_await load_items(header);
     }
-    const auto batch = std::make_shared<run>(loop_, store_, header, std::move(value(items)));
-    batch->give_up_at = header.accepted + header.max_age;
+    const auto batch = std::make_shared<batch_run>(loop_, store_, header, std::move(value(items)));
+    batch->expires_at = header.accepted + header.max_age;
     bool loaded = fresh;
     while (!loaded) {
-        loaded = co_await load_log(*batch);
+        loaded = co_await load_results(*batch);
         if (!loaded) {
-            co_await net::sleep_for(loop_, store_retry);
+            co_await net::sleep_for(loop_, store_retry_delay);
         }
     }
     const auto* known = find(header.id);
@@ -250,39 +250,41 @@
         co_await load_texts(batch);
     }
     active_[header.id] = batch;
-    co_await work_through(batch);
+    co_await run_until_done(batch);
 }
 
-net::task<void> batch_runner::work_through(run_ref batch)
+net::task<void> batch_runner::run_until_done(batch_run_ref batch)
 {
     while (!batch->ended) {
         place_items();
         move_stragglers(*batch);
-        give_up_old(*batch);
-        keep_texts(batch);
+        expire_items(*batch);
+        save_texts(batch);
         const auto now = steady::now();
         auto& progress = batch->progress;
-        if (progress.unlisted_results() == 0) {
-            batch->first_unlisted = now;
+        if (progress.unpublished_results() == 0) {
+            batch->first_unpublished = now;
         }
-        const bool whole = progress.unlisted_results() + progress.listed() >= progress.header().total;
-        const bool due = progress.group_waits() || whole || now - batch->first_unlisted >= list_wait;
-        const bool rested = now - batch->last_listing >= list_every || whole;
-        if (batch->accepted && !batch->listing && progress.unlisted_results() > 0 && due && rested) {
-            batch->listing = true;
-            batch->last_listing = now;
-            net::start(loop_, list_results(batch));
+        const bool complete =
+            progress.unpublished_results() + progress.published() >= progress.header().total;
+        const bool due =
+            progress.has_complete_group() || complete || now - batch->first_unpublished >= publish_delay;
+        const bool rested = now - batch->last_publish >= publish_interval || complete;
+        if (batch->stored && !batch->publishing && progress.unpublished_results() > 0 && due && rested) {
+            batch->publishing = true;
+            batch->last_publish = now;
+            net::start(loop_, publish_results(batch));
         }
-        if (progress.all_listed()) {
+        if (progress.all_published()) {
             finished_.insert(progress.header().id);
             end(batch, "all items are listed");
             break;
         }
-        co_await batch->changed.wait_until(now + look_every);
+        co_await batch->changed.wait_until(now + poll_interval);
     }
 }
 
-void batch_runner::end(const run_ref& batch, const char* why)
+void batch_runner::end(const batch_run_ref& batch, const char* why)
 {
     if (batch->ended) {
         return;
@@ -293,15 +295,15 @@
     observe::log(observe::log_level::info, "batch_done",
                  {{"batch", progress.header().id},
                   {"why", std::string(why)},
-                  {"listed", static_cast<std::int64_t>(progress.listed())},
+                  {"listed", static_cast<std::int64_t>(progress.published())},
                   {"items", static_cast<std::int64_t>(progress.header().total)}});
     counts_.add("batches_done_total");
     batch->changed.notify();
     active_.erase(progress.header().id);
-    wake();
+    notify();
 }
 
-void batch_runner::wake()
+void batch_runner::notify()
 {
     for (const auto& [id, batch] : active_) {
         if (batch) {
@@ -311,30 +313,30 @@
 }
 
 // An item older than its route allows may be given up; the trainer hears of it rather than wait for ever.
-void batch_runner::give_up_old(run& batch)
+void batch_runner::expire_items(batch_run& batch)
 {
-    if (batch.progress.header().max_age.count() <= 0 || std::chrono::system_clock::now() < batch.give_up_at) {
+    if (batch.progress.header().max_age.count() <= 0 || std::chrono::system_clock::now() < batch.expires_at) {
         return;
     }
-    for (std::size_t place = 0; place < batch.progress.items().size(); ++place) {
-        const auto state = batch.progress.items()[place].state;
-        if (state != work_state::finished && state != work_state::listed) {
+    for (std::size_t index = 0; index < batch.progress.items().size(); ++index) {
+        const auto state = batch.progress.items()[index].state;
+        if (state != work_state::finished && state != work_state::published) {
             observe::log(
                 observe::log_level::warning, "item_given_up",
-                {{"request", batch.progress.items()[place].item.id}, {"batch", batch.progress.header().id}});
-            batch.progress.terminate(place);
+                {{"request", batch.progress.items()[index].item.id}, {"batch", batch.progress.header().id}});
+            batch.progress.terminate(index);
         }
     }
     batch.cancel_work();
 }
 
-net::task<void> batch_runner::list_results(run_ref batch)
+net::task<void> batch_runner::publish_results(batch_run_ref batch)
 {
     auto& progress = batch->progress;
     const auto writer = fleet_.self() + "/" + std::to_string(fleet_.incarnation());
     auto segment = progress.next_segment(writer);
     if (segment) {
-        const auto kind = log_kind(progress.header().id);
+        const auto kind = results_kind(progress.header().id);
         const auto name = segment_name(segment->first);
         const auto written = co_await store_.create(kind, name, to_json(*segment));
         if (ok(written)) {
@@ -342,14 +344,14 @@
                          {{"batch", progress.header().id},
                           {"first", static_cast<std::int64_t>(segment->first)},
                           {"results", static_cast<std::int64_t>(segment->results.size())}});
-            progress.take_segment(*segment);
+            progress.apply_segment(*segment);
         }
         else if (failure(written).code == error_code::conflict) {
             // Another owner, or a write of this one that was thought lost, has filled the position.
-            const auto standing = nlohmann::json::parse(failure(written).current, nullptr, false);
-            const auto parsed = segment_from_json(name, standing);
+            const auto existing = nlohmann::json::parse(failure(written).current, nullptr, false);
+            const auto parsed = segment_from_json(name, existing);
             if (ok(parsed)) {
-                progress.take_segment(value(parsed));
+                progress.apply_segment(value(parsed));
                 observe::log(
                     observe::log_level::info, "segment_stood",
                     {{"batch", progress.header().id}, {"first", static_cast<std::int64_t>(segment->first)}});
@@ -359,17 +361,17 @@
                 // would take all calls that the store gives this gateway.
                 observe::log(observe::log_level::error, "segment_unreadable",
                              {{"batch", progress.header().id}, {"why", describe(failure(parsed))}});
-                co_await net::sleep_for(loop_, store_retry);
+                co_await net::sleep_for(loop_, store_retry_delay);
             }
         }
         else {
             observe::log(observe::log_level::warning, "segment_unwritten",
                          {{"batch", progress.header().id}, {"why", describe(failure(written))}});
-            co_await net::sleep_for(loop_, store_retry);
+            co_await net::sleep_for(loop_, store_retry_delay);
         }
-        progress.segment_failed();
+        progress.finish_write();
     }
-    batch->listing = false;
+    batch->publishing = false;
     batch->changed.notify();
 }
 
--- a/src/gateway/batch_service.cpp
+++ b/src/gateway/batch_service.cpp
@@ -12,22 +12,22 @@
 namespace {
 
 /// Bytes of results in one answer.
-constexpr std::size_t most_page_bytes = 900U << 10U;
+constexpr std::size_t max_page_bytes = 900U << 10U;
 
 /// Between two looks for the batch in the feed.
-constexpr milliseconds settle_look{50};
+constexpr milliseconds poll_interval{50};
 
 /// When to bring a batch again that the store could not take.
 constexpr milliseconds store_retry_after{500};
 
 /// Bodies are asked for now and then, of few batches; each item list takes some 200 KB.
-constexpr std::size_t most_cached = 1;
+constexpr std::size_t max_cached = 1;
 
 /// Logs whose segment ends are known here, a few dozen numbers each.
-constexpr std::size_t most_known_logs = 128;
+constexpr std::size_t max_known_results = 128;
 
 /// A shorter wait for results is not worth a call.
-constexpr milliseconds least_wait{50};
+constexpr milliseconds min_wait{50};
 
 } // namespace
 
@@ -39,22 +39,22 @@
 
 // A creation without an answer may have been done, or may be done later; made again under the same name it
 // settles what stands. `not_run` errors say that nothing was written by any of the tries.
-net::task_of<stored_object> batch_service::create_surely(std::string kind, std::string name, json value,
-                                                         time_point until)
+net::task_of<stored_object> batch_service::create_with_retry(std::string kind, std::string name, json value,
+                                                             time_point until)
 {
-    auto doubt = run_state::not_run;
+    auto ran = run_state::not_run;
     while (true) {
         auto created = co_await store_.create(kind, name, value);
         if (ok(created) || failure(created).code == error_code::conflict) {
             co_return created;
         }
         auto reason = failure(created);
-        doubt = std::max(doubt, reason.ran);
-        if (doubt == run_state::not_run || steady::now() >= until) {
-            reason.ran = doubt;
+        ran = std::max(ran, reason.ran);
+        if (ran == run_state::not_run || steady::now() >= until) {
+            reason.ran = ran;
             co_return reason;
         }
-        co_await net::sleep_for(loop_, settle_pause);
+        co_await net::sleep_for(loop_, retry_interval);
     }
 }
 
@@ -73,12 +73,12 @@
     header.owner_vm = fleet_.self();
     header.owner_incarnation = fleet_.incarnation();
     const auto id = header.id;
-    net::start(loop_, run_ahead_when_slow(current));
-    net::start(loop_, settle(current));
+    net::start(loop_, speculate_when_slow(current));
+    net::start(loop_, resolve_attempt(current));
     // A call that hangs at a store that is back by now must not keep the trainer from hearing that the batch
     // stands, once the feed shows it.
     while (!current->outcome && !headers_.objects().contains(id)) {
-        co_await current->changed.wait_until(steady::now() + settle_look);
+        co_await current->changed.wait_until(steady::now() + poll_interval);
     }
     if (!current->outcome) {
         current->outcome = done{};
@@ -89,15 +89,15 @@
     }
     auto reason = failure(stored);
     if (reason.ran == run_state::not_run) {
-        const bool may_run = current->ahead || co_await runs_ahead(id);
+        const bool may_run = current->speculative || co_await runs_speculatively(id);
         reason.ran = may_run ? run_state::in_doubt : run_state::not_run;
     }
     co_return reason;
 }
 
-net::task<void> batch_service::settle(std::shared_ptr<attempt> current)
+net::task<void> batch_service::resolve_attempt(std::shared_ptr<attempt> current)
 {
-    auto stored = co_await store_batch(current, steady::now() + settle_time);
+    auto stored = co_await store_batch(current, steady::now() + resolve_timeout);
     if (!current->outcome) {
         current->outcome = std::move(stored);
     }
@@ -107,28 +107,28 @@
 net::task_of<done> batch_service::store_batch(std::shared_ptr<attempt> current, time_point until)
 {
     auto& header = current->submission.header;
-    auto parts = to_parts(current->submission.items, most_part_bytes);
+    auto parts = to_parts(current->submission.items, max_part_bytes);
     header.parts = parts.size();
     for (std::size_t part = 0; part < parts.size(); ++part) {
         const auto stored =
-            co_await create_surely(item_kind, part_name(header.id, part), std::move(parts[part]), until);
+            co_await create_with_retry(item_kind, part_name(header.id, part), std::move(parts[part]), until);
         if (!ok(stored) && failure(stored).code != error_code::conflict) {
             co_return error{error_code::unavailable, run_state::not_run, describe(failure(stored)),
                             store_retry_after};
         }
     }
-    current->naming = true;
+    current->storing_header = true;
     // A gateway that stops starts no batch, and the others would wait until it has left.
     const auto successor =
-        runner_.taking() || runner_.runs(header.id) ? std::nullopt : other_owner(header.id);
+        runner_.starts_batches() || runner_.runs(header.id) ? std::nullopt : other_owner(header.id);
     if (successor) {
         header.owner_vm = successor->vm;
         header.owner_incarnation = successor->incarnation;
     }
     if (header.owner_vm == fleet_.self()) {
-        runner_.keep_items(header.id, current->submission.items);
+        runner_.cache_items(header.id, current->submission.items);
     }
-    auto created = co_await create_surely(batch_kind, header.id, to_json(header), until);
+    auto created = co_await create_with_retry(batch_kind, header.id, to_json(header), until);
     if (ok(created)) {
         headers_.take_own(std::move(value(created)));
         co_return done{};
@@ -154,51 +154,53 @@
     co_return header_from_json(batch, value(stored).value, value(stored).status);
 }
 
-void batch_service::note(const std::string& batch, const std::vector<log_segment>& segments,
-                         std::uint64_t as_of)
+void batch_service::record_segments(const std::string& batch, const std::vector<result_segment>& segments,
+                                    std::uint64_t as_of)
 {
-    auto& known = logs_[batch];
+    auto& known = known_results_[batch];
     for (const auto& segment : segments) {
         const auto end = segment.first + segment.results.size();
         known.segment_ends.insert(end);
         known.end = std::max(known.end, end);
     }
     known.as_of = std::max(known.as_of, as_of);
-    if (logs_.size() > most_known_logs) {
-        logs_.erase(logs_.begin()->first == batch ? std::next(logs_.begin()) : logs_.begin());
+    if (known_results_.size() > max_known_results) {
+        known_results_.erase(known_results_.begin()->first == batch ? std::next(known_results_.begin())
+                                                                    : known_results_.begin());
     }
 }
 
 std::uint64_t batch_service::empty_as_of(const std::string& batch, std::size_t first) const
 {
-    const auto known = logs_.find(batch);
-    return known != logs_.end() && known->second.end == first ? known->second.as_of : 0;
+    const auto known = known_results_.find(batch);
+    return known != known_results_.end() && known->second.end == first ? known->second.as_of : 0;
 }
 
 // Segments are named by their first position. A reader goes on where a segment ended, so the segments named
 // behind the position before it are the ones it wants; from any other position all are read.
 net::task_of<segment_listing> batch_service::segments_from(std::string batch, std::size_t first)
 {
-    const auto known = logs_.find(batch);
-    const bool at_an_end = first > 0 && known != logs_.end() && known->second.segment_ends.contains(first);
+    const auto known = known_results_.find(batch);
+    const bool at_an_end =
+        first > 0 && known != known_results_.end() && known->second.segment_ends.contains(first);
     auto after = at_an_end ? segment_name(first - 1) : std::string{};
     auto listing = co_await read_segments(store_, batch, std::move(after));
     if (ok(listing)) {
-        note(batch, value(listing).segments, value(listing).as_of);
+        record_segments(batch, value(listing).segments, value(listing).as_of);
     }
     co_return listing;
 }
 
 namespace {
 
-void add_results(result_page& page, const std::vector<log_segment>& segments)
+void add_results(result_page& page, const std::vector<result_segment>& segments)
 {
     std::size_t bytes = 0;
     for (const auto& segment : segments) {
-        for (std::size_t at = 0; at < segment.results.size(); ++at) {
-            const auto& entry = segment.results[at];
-            const bool fits = page.results.empty() || bytes + entry.text.size() < most_page_bytes;
-            if (segment.first + at == page.first + page.results.size() && fits) {
+        for (std::size_t index = 0; index < segment.results.size(); ++index) {
+            const auto& entry = segment.results[index];
+            const bool fits = page.results.empty() || bytes + entry.text.size() < max_page_bytes;
+            if (segment.first + index == page.first + page.results.size() && fits) {
                 bytes += entry.text.size() + entry.id.size();
                 page.results.push_back(entry);
             }
@@ -207,9 +209,9 @@
 }
 
 /// An unreadable one among them fails.
-result<std::vector<log_segment>> segments_of(const object_changes& changes)
+result<std::vector<result_segment>> segments_of(const object_changes& changes)
 {
-    std::vector<log_segment> segments;
+    std::vector<result_segment> segments;
     for (const auto& change : changes.events) {
         if (change.removed) {
             continue;
@@ -220,8 +222,9 @@
         }
         segments.push_back(std::move(value(segment)));
     }
-    std::sort(segments.begin(), segments.end(),
-              [](const log_segment& left, const log_segment& right) { return left.first < right.first; });
+    std::sort(segments.begin(), segments.end(), [](const result_segment& left, const result_segment& right) {
+        return left.first < right.first;
+    });
     return segments;
 }
 
@@ -231,7 +234,7 @@
                                                time_point until)
 {
     const auto left = std::chrono::duration_cast<milliseconds>(until - steady::now());
-    const auto changed = co_await store_.watch(log_kind(batch), since, left);
+    const auto changed = co_await store_.watch(results_kind(batch), since, left);
     if (!ok(changed)) {
         co_return false;
     }
@@ -239,7 +242,7 @@
     if (!ok(segments)) {
         co_return false;
     }
-    note(batch, value(segments), value(changed).as_of);
+    record_segments(batch, value(segments), value(changed).as_of);
     add_results(page, value(segments));
     co_return true;
 }
@@ -260,20 +263,20 @@
     // A reader that goes on where the last answer ended needs no listing: a watch from that answer's revision
     // tells what came since, for one call of the store instead of two.
     const auto since = empty_as_of(batch, first);
-    bool told = false;
-    if (since > 0 && wait > least_wait) {
-        told = co_await add_new_results(page, batch, since, until);
+    bool received = false;
+    if (since > 0 && wait > min_wait) {
+        received = co_await add_new_results(page, batch, since, until);
     }
-    if (told) {
+    if (received) {
         co_return page;
     }
-    const auto listed = co_await segments_from(batch, first);
-    if (!ok(listed)) {
-        co_return failure(listed);
+    const auto listing = co_await segments_from(batch, first);
+    if (!ok(listing)) {
+        co_return failure(listing);
     }
-    add_results(page, value(listed).segments);
-    if (page.results.empty() && until - steady::now() > least_wait) {
-        co_await add_new_results(page, batch, value(listed).as_of, until);
+    add_results(page, value(listing).segments);
+    if (page.results.empty() && until - steady::now() > min_wait) {
+        co_await add_new_results(page, batch, value(listing).as_of, until);
     }
     co_return page;
 }
@@ -292,7 +295,7 @@
     }
     auto& items = value(read);
     cache_.push_front({header.id, items});
-    if (cache_.size() > most_cached) {
+    if (cache_.size() > max_cached) {
         cache_.pop_back();
     }
     co_return items;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -71,7 +71,7 @@
     feed retirements;
     feed_hub feeds;
     batch_service batches;
-    weights_keeper weights;
+    weights_updater weights;
     net::http_service peers;
     bool draining = false;
     std::optional<std::vector<std::string>> registered; ///< VMs that the store names
@@ -128,7 +128,7 @@
 void gateway::state::replicas_changed()
 {
     forwarding.refresh(steady::now());
-    runner.wake();
+    runner.notify();
 }
 
 void gateway::state::take_replica(const object_change& change)
@@ -185,7 +185,7 @@
         log_unreadable(foreign.versions, change.object.name, failure(decoded));
         return;
     }
-    weights.name_version(value(decoded).model, value(decoded).version);
+    weights.require_version(value(decoded).model, value(decoded).version);
 }
 
 void gateway::state::take_header(const object_change& change)
@@ -198,7 +198,7 @@
         log_unreadable(batch_kind, change.object.name, failure(header));
         return;
     }
-    runner.take_header(value(header));
+    runner.update_header(value(header));
 }
 
 // Nothing that must last stands on a VM: batches and their results are in the store. So a VM that is to be
@@ -300,7 +300,7 @@
 {
     while (true) {
         if (knows_all_registered()) {
-            runner.take_view_as_whole();
+            runner.mark_view_complete();
         }
         const auto generation = targets.generation();
         targets.expire(steady::now());
@@ -308,7 +308,7 @@
             replicas_changed();
         }
         fleet.set_front_open(serves_callers() && ready() && !fleet.isolated());
-        runner.review();
+        runner.review_ownership();
         co_await net::sleep_for(loop, housekeeping_every);
     }
 }
@@ -319,8 +319,8 @@
     if (request.target == "/relay") {
         response = co_await relay.serve(request);
     }
-    else if (request.target == ahead_path) {
-        response = batches.serve_ahead(request);
+    else if (request.target == speculative_path) {
+        response = batches.serve_speculative(request);
     }
     else if (request.target == "/sync") {
         response = co_await feeds.serve(request);
@@ -384,7 +384,7 @@
     state_->draining = true;
     state_->forwarding.stop_by(std::move(plan));
     state_->fleet.set_draining();
-    state_->runner.stop_taking();
+    state_->runner.drain();
 }
 
 void gateway::leave()
--- a/tests/gateway/batch_deployment.hpp
+++ b/tests/gateway/batch_deployment.hpp
@@ -12,19 +12,18 @@
 
 constexpr int item_count = 6;
 
-inline net::http_request make_batch(const std::string& id, std::uint64_t least_version = 1,
-                                    bool scored = false)
+inline net::http_request make_batch(const std::string& id, std::uint64_t min_version = 1, bool scored = false)
 {
     nlohmann::json items = nlohmann::json::array();
-    for (int place = 0; place < item_count; ++place) {
+    for (int index = 0; index < item_count; ++index) {
         nlohmann::json item;
-        item["Id"] = id + "-i" + std::to_string(place);
+        item["Id"] = id + "-i" + std::to_string(index);
         item["Path"] = "/lots/run";
         item["Headers"] = {{"Token-Counts", "5,9"}, {"Model", "m"}};
         item["Body"] = "aGk=";
-        item["Group"] = "g" + std::to_string(place / 2);
+        item["Group"] = "g" + std::to_string(index / 2);
         if (scored) {
-            const auto number = std::to_string(place);
+            const auto number = std::to_string(index);
             item["ScoringFunction"] = {{"Id", id + "-s" + number},
                                        {"Host", "h"},
                                        {"Path", "/score/" + number},
@@ -35,7 +34,7 @@
     nlohmann::json body;
     body["Step"] = 0;
     body["Model"] = "m";
-    body["MinVersion"] = least_version;
+    body["MinVersion"] = min_version;
     body["DesiredCount"] = 3;
     body["Items"] = std::move(items);
     net::http_request request;
@@ -65,7 +64,7 @@
     return request;
 }
 
-struct batches : deployment {
+struct batch_deployment : deployment {
     standins::fake_replica& one = add_replica("e1", "lm");
     standins::fake_replica& two = add_replica("e2", "lm");
 
@@ -94,7 +93,7 @@
     }
 };
 
-inline void expect_whole(const std::vector<nlohmann::json>& results)
+inline void expect_complete(const std::vector<nlohmann::json>& results)
 {
     std::set<std::string> ids;
     for (const auto& entry : results) {
--- a/tests/gateway/batch_progress_tests.cpp
+++ b/tests/gateway/batch_progress_tests.cpp
@@ -13,7 +13,7 @@
 {
     batch_header header;
     header.id = "b";
-    header.least_version = 2;
+    header.min_version = 2;
     header.attempts = 3;
     return header;
 }
@@ -21,9 +21,9 @@
 std::vector<batch_item> make_items(std::size_t count)
 {
     std::vector<batch_item> items(count);
-    for (std::size_t place = 0; place < count; ++place) {
-        items[place].id = "i" + std::to_string(place);
-        items[place].group = "g" + std::to_string(place / 2);
+    for (std::size_t index = 0; index < count; ++index) {
+        items[index].id = "i" + std::to_string(index);
+        items[index].group = "g" + std::to_string(index / 2);
     }
     return items;
 }
@@ -36,12 +36,12 @@
     return event;
 }
 
-void finish(batch_progress& progress, std::size_t place)
+void finish(batch_progress& progress, std::size_t index)
 {
-    progress.start(place);
-    ASSERT_EQ(progress.begin_run(place, 2), run_break::none);
-    ASSERT_EQ(progress.take_event(place, make_event(1, "text"), std::nullopt), run_break::none);
-    progress.complete(place);
+    progress.start(index);
+    ASSERT_EQ(progress.begin_run(index, 2), run_rejection::none);
+    ASSERT_EQ(progress.append_event(index, make_event(1, "text"), std::nullopt), run_rejection::none);
+    progress.complete(index);
 }
 
 // The trainer reads an item at two positions of its batch. Two owners run the batch after a restart; one
@@ -51,10 +51,10 @@
 {
     batch_progress progress(make_header(), make_items(2));
     progress.start(0);
-    progress.take_segment({0, "other", {{"i0", item_state::completed, "theirs", {2}}}});
-    EXPECT_EQ(progress.begin_run(0, 2), run_break::not_wanted);
+    progress.apply_segment({0, "other", {{"i0", item_state::completed, "theirs", {2}}}});
+    EXPECT_EQ(progress.begin_run(0, 2), run_rejection::not_running);
     progress.complete(0);
-    EXPECT_EQ(progress.unlisted_results(), 0U);
+    EXPECT_EQ(progress.unpublished_results(), 0U);
     EXPECT_EQ(progress.next_segment("me"), std::nullopt);
 }
 
@@ -66,16 +66,16 @@
     batch_progress progress(make_header(), std::move(items));
     finish(progress, 0);
     EXPECT_EQ(progress.items()[0].state, work_state::scoring);
-    EXPECT_EQ(progress.unlisted_results(), 0U);
+    EXPECT_EQ(progress.unpublished_results(), 0U);
     EXPECT_EQ(progress.next_segment("me"), std::nullopt);
     EXPECT_EQ(progress.open_in_group(0), 2U);
-    progress.take_score(0, "code");
+    progress.set_score(0, "code");
     const auto segment = progress.next_segment("me");
     ASSERT_TRUE(segment);
     EXPECT_EQ(segment->results,
               (std::vector<item_result>{{"i0", item_state::completed, "text", {2}, "code"}}));
-    progress.take_score(0, "another");
-    EXPECT_EQ(progress.unlisted_results(), 1U);
+    progress.set_score(0, "another");
+    EXPECT_EQ(progress.unpublished_results(), 1U);
 }
 
 // Another owner lists an item, with another score, while this one waits for its own: the listed one stands.
@@ -85,11 +85,11 @@
     items[0].scoring = scoring_call{"s0", "h", "/score/0", ""};
     batch_progress progress(make_header(), std::move(items));
     finish(progress, 0);
-    progress.take_segment({0, "other", {{"i0", item_state::completed, "text", {2}, "theirs"}}});
-    progress.take_score(0, "mine");
-    EXPECT_EQ(progress.items()[0].state, work_state::listed);
+    progress.apply_segment({0, "other", {{"i0", item_state::completed, "text", {2}, "theirs"}}});
+    progress.set_score(0, "mine");
+    EXPECT_EQ(progress.items()[0].state, work_state::published);
     EXPECT_EQ(progress.next_segment("me"), std::nullopt);
-    EXPECT_TRUE(progress.all_listed());
+    EXPECT_TRUE(progress.all_published());
 }
 
 // The owner dies with a text half made and another that lacks only its score. The next owner asks for what
@@ -99,16 +99,16 @@
     auto items = make_items(2);
     items[1].scoring = scoring_call{"s1", "h", "/score/1", ""};
     batch_progress progress(make_header(), std::move(items));
-    progress.take_text({"i0", "one\ntwo", 2, 2, {2}, false});
-    progress.take_text({"i1", "whole", 1, 1, {3}, true});
+    progress.restore_text({"i0", "one\ntwo", 2, 2, {2}, false});
+    progress.restore_text({"i1", "whole", 1, 1, {3}, true});
     EXPECT_EQ(progress.items()[0].state, work_state::waiting);
     EXPECT_EQ(progress.items()[0].last_event, 2U);
     EXPECT_EQ(progress.items()[1].state, work_state::scoring);
     progress.start(0);
-    ASSERT_EQ(progress.begin_run(0, 3), run_break::none);
-    ASSERT_EQ(progress.take_event(0, make_event(3, "three"), std::nullopt), run_break::none);
+    ASSERT_EQ(progress.begin_run(0, 3), run_rejection::none);
+    ASSERT_EQ(progress.append_event(0, make_event(3, "three"), std::nullopt), run_rejection::none);
     progress.complete(0);
-    progress.take_score(1, "code");
+    progress.set_score(1, "code");
     const auto segment = progress.next_segment("me");
     ASSERT_TRUE(segment);
     const std::vector<item_result> expected{{"i0", item_state::completed, "one\ntwo\nthree", {2, 3}, ""},
@@ -121,30 +121,30 @@
     auto header = make_header();
     header.single_version = true;
     batch_progress progress(header, make_items(3));
-    progress.take_text({"i0", "old", 1, 1, {1}, false});
-    progress.take_text({"i1", "mixed", 2, 2, {2, 3}, false});
-    progress.take_text({"elsewhere", "text", 1, 1, {2}, false});
-    progress.take_segment({0, "other", {{"i2", item_state::completed, "theirs", {2}, ""}}});
-    progress.take_text({"i2", "mine", 1, 1, {2}, true});
+    progress.restore_text({"i0", "old", 1, 1, {1}, false});
+    progress.restore_text({"i1", "mixed", 2, 2, {2, 3}, false});
+    progress.restore_text({"elsewhere", "text", 1, 1, {2}, false});
+    progress.apply_segment({0, "other", {{"i2", item_state::completed, "theirs", {2}, ""}}});
+    progress.restore_text({"i2", "mine", 1, 1, {2}, true});
     EXPECT_EQ(progress.items()[0].events, 0U);
     EXPECT_EQ(progress.items()[1].events, 0U);
-    EXPECT_EQ(progress.items()[2].state, work_state::listed);
-    EXPECT_EQ(progress.unlisted_results(), 0U);
+    EXPECT_EQ(progress.items()[2].state, work_state::published);
+    EXPECT_EQ(progress.unpublished_results(), 0U);
 }
 
 TEST(batch_texts, come_back_as_they_were_kept)
 {
     batch_progress progress(make_header(), make_items(2));
-    for (std::size_t place = 0; place < 2; ++place) {
-        progress.start(place);
-        ASSERT_EQ(progress.begin_run(place, 2), run_break::none);
+    for (std::size_t index = 0; index < 2; ++index) {
+        progress.start(index);
+        ASSERT_EQ(progress.begin_run(index, 2), run_rejection::none);
     }
     constexpr std::uint64_t events = 12;
     for (std::uint64_t number = 1; number <= events; ++number) {
-        ASSERT_EQ(progress.take_event(1, make_event(number, "x"), std::nullopt), run_break::none);
+        ASSERT_EQ(progress.append_event(1, make_event(number, "x"), std::nullopt), run_rejection::none);
     }
-    ASSERT_EQ(progress.take_event(0, make_event(1, "x"), std::nullopt), run_break::none);
-    const auto texts = texts_to_keep(progress);
+    ASSERT_EQ(progress.append_event(0, make_event(1, "x"), std::nullopt), run_rejection::none);
+    const auto texts = texts_to_save(progress);
     ASSERT_EQ(texts.size(), 1U) << "a text of one event is soon made again";
     EXPECT_EQ(texts[0].id, "i1");
     EXPECT_EQ(texts[0].last_event, events);
@@ -164,7 +164,7 @@
     ASSERT_EQ(parts.size(), 2U);
     EXPECT_EQ(value(items_from_json(parts[0]))[0].scoring, item.scoring);
     EXPECT_EQ(value(items_from_json(parts[1]))[0].scoring, std::nullopt);
-    const log_segment segment{
+    const result_segment segment{
         0, "me", {{"i0", item_state::completed, "text", {2}, "code"}, {"i1", {}, "", {}, ""}}};
     const auto read = segment_from_json(segment_name(0), to_json(segment));
     EXPECT_EQ(value(read).results, segment.results);
@@ -174,13 +174,13 @@
 {
     batch_progress progress(make_header(), make_items(1));
     progress.start(0);
-    ASSERT_EQ(progress.begin_run(0, 2), run_break::none);
-    ASSERT_EQ(progress.take_event(0, make_event(1, "one"), std::nullopt), run_break::none);
+    ASSERT_EQ(progress.begin_run(0, 2), run_rejection::none);
+    ASSERT_EQ(progress.append_event(0, make_event(1, "one"), std::nullopt), run_rejection::none);
     progress.release(0, {}, "r1");
     EXPECT_EQ(progress.items()[0].last_event, 1U);
     progress.start(0);
-    ASSERT_EQ(progress.begin_run(0, 3), run_break::none);
-    ASSERT_EQ(progress.take_event(0, make_event(2, "two"), std::nullopt), run_break::none);
+    ASSERT_EQ(progress.begin_run(0, 3), run_rejection::none);
+    ASSERT_EQ(progress.append_event(0, make_event(2, "two"), std::nullopt), run_rejection::none);
     progress.complete(0);
     const auto segment = progress.next_segment("me");
     ASSERT_TRUE(segment);
@@ -192,18 +192,18 @@
 {
     batch_progress progress(make_header(), make_items(1));
     progress.start(0);
-    ASSERT_EQ(progress.begin_run(0, 2), run_break::none);
-    ASSERT_EQ(progress.take_event(0, make_event(1, "one"), std::nullopt), run_break::none);
-    EXPECT_EQ(progress.take_event(0, make_event(3, "three"), std::nullopt), run_break::wrong_event);
-    EXPECT_EQ(progress.take_event(0, make_event(1, "one"), std::nullopt), run_break::wrong_event);
+    ASSERT_EQ(progress.begin_run(0, 2), run_rejection::none);
+    ASSERT_EQ(progress.append_event(0, make_event(1, "one"), std::nullopt), run_rejection::none);
+    EXPECT_EQ(progress.append_event(0, make_event(3, "three"), std::nullopt), run_rejection::wrong_event);
+    EXPECT_EQ(progress.append_event(0, make_event(1, "one"), std::nullopt), run_rejection::wrong_event);
 }
 
 TEST(batch_progress, refuses_weights_older_than_the_batch_allows)
 {
     batch_progress progress(make_header(), make_items(1));
     progress.start(0);
-    EXPECT_EQ(progress.begin_run(0, 1), run_break::old_weights);
-    EXPECT_EQ(progress.begin_run(0, 0), run_break::old_weights);
+    EXPECT_EQ(progress.begin_run(0, 1), run_rejection::old_weights);
+    EXPECT_EQ(progress.begin_run(0, 0), run_rejection::old_weights);
 }
 
 TEST(batch_progress, lists_one_version_only_where_the_route_asks_for_one)
@@ -212,14 +212,14 @@
     header.single_version = true;
     batch_progress progress(header, make_items(1));
     progress.start(0);
-    ASSERT_EQ(progress.begin_run(0, 2), run_break::none);
-    ASSERT_EQ(progress.take_event(0, make_event(1, "one"), std::nullopt), run_break::none);
-    EXPECT_EQ(progress.take_event(0, make_event(2, "two"), 3), run_break::mixed_weights);
-    progress.restart(0);
+    ASSERT_EQ(progress.begin_run(0, 2), run_rejection::none);
+    ASSERT_EQ(progress.append_event(0, make_event(1, "one"), std::nullopt), run_rejection::none);
+    EXPECT_EQ(progress.append_event(0, make_event(2, "two"), 3), run_rejection::mixed_weights);
+    progress.discard_text(0);
     progress.release(0, {}, "r1");
     progress.start(0);
-    ASSERT_EQ(progress.begin_run(0, 3), run_break::none);
-    ASSERT_EQ(progress.take_event(0, make_event(1, "one"), std::nullopt), run_break::none);
+    ASSERT_EQ(progress.begin_run(0, 3), run_rejection::none);
+    ASSERT_EQ(progress.append_event(0, make_event(1, "one"), std::nullopt), run_rejection::none);
     progress.complete(0);
     EXPECT_EQ(progress.next_segment("me")->results[0].versions, std::vector<std::uint64_t>{3});
 }
@@ -247,16 +247,16 @@
 {
     batch_progress progress(make_header(), make_items(4));
     finish(progress, 0);
-    EXPECT_FALSE(progress.group_waits());
+    EXPECT_FALSE(progress.has_complete_group());
     finish(progress, 1);
-    EXPECT_TRUE(progress.group_waits());
+    EXPECT_TRUE(progress.has_complete_group());
 }
 
 /// The store as segments see it: a name is created once, whatever is lost or late.
-struct model_log {
-    std::map<std::size_t, log_segment> segments;
+struct fake_results {
+    std::map<std::size_t, result_segment> segments;
 
-    bool create(const log_segment& segment) { return segments.emplace(segment.first, segment).second; }
+    bool create(const result_segment& segment) { return segments.emplace(segment.first, segment).second; }
 };
 
 // Two owners run one batch. Their writes are done and answered, done without an answer, or done later.
@@ -264,44 +264,44 @@
 RC_GTEST_PROP(batch_progress, lists_every_item_once_with_two_owners, ())
 {
     constexpr std::size_t count = 6;
-    model_log log;
+    fake_results stored;
     std::vector<batch_progress> owners;
     owners.emplace_back(make_header(), make_items(count));
     owners.emplace_back(make_header(), make_items(count));
-    std::vector<log_segment> late;
+    std::vector<result_segment> late;
     const auto steps = *rc::gen::container<std::vector<int>>(60, rc::gen::inRange(0, 1000));
     for (const auto step : steps) {
         auto& owner = owners[static_cast<std::size_t>(step % 2)];
-        const auto place = static_cast<std::size_t>(step / 2) % count;
+        const auto index = static_cast<std::size_t>(step / 2) % count;
         switch (step / 20 % 6) {
         case 0:
         case 1:
-            owner.start(place);
-            if (owner.begin_run(place, 2) == run_break::none) {
-                owner.complete(place);
+            owner.start(index);
+            if (owner.begin_run(index, 2) == run_rejection::none) {
+                owner.complete(index);
             }
             break;
         case 2:
         case 3:
             if (const auto segment = owner.next_segment("w")) {
-                if (log.create(*segment)) {
-                    owner.take_segment(*segment);
+                if (stored.create(*segment)) {
+                    owner.apply_segment(*segment);
                 }
                 else {
-                    owner.take_segment(log.segments.at(segment->first));
+                    owner.apply_segment(stored.segments.at(segment->first));
                 }
-                owner.segment_failed();
+                owner.finish_write();
             }
             break;
         case 4: // done, or to be done later, without an answer
             if (const auto segment = owner.next_segment("w")) {
                 late.push_back(*segment);
-                owner.segment_failed();
+                owner.finish_write();
             }
             break;
         default:
             if (!late.empty()) {
-                log.create(late.back());
+                stored.create(late.back());
                 late.pop_back();
             }
             break;
@@ -309,7 +309,7 @@
     }
     std::set<std::string> seen;
     std::size_t next = 0;
-    for (const auto& [first, segment] : log.segments) {
+    for (const auto& [first, segment] : stored.segments) {
         RC_ASSERT(first == next);
         next += segment.results.size();
         for (const auto& entry : segment.results) {
