--- a/fuzzing/input_tests.cpp
+++ b/fuzzing/input_tests.cpp
@@ -59,11 +59,12 @@
 /// A trainer's cursor is the only ledger of its samples: a damaged one that passed would skip or double some.
 RC_GTEST_PROP(cursor_text, that_is_damaged_is_never_taken_for_another_position, ())
 {
-    samples::cursor position = samples::step_start("reply-tuning", 3, 24);
+    samples::cursor position = samples::empty_cursor("reply-tuning", 3, 24);
     for (std::size_t slot = 0; slot < position.taken.size(); ++slot) {
         position.taken[slot] = *rc::gen::arbitrary<bool>();
     }
-    const auto opened = samples::open_cursor(fuzzing::damaged(samples::seal(position, "secret")), "secret");
+    const auto opened =
+        samples::decode_cursor(fuzzing::damaged(samples::encode_cursor(position, "secret")), "secret");
     if (ok(opened)) {
         RC_ASSERT(value(opened) == position);
     }
--- a/src/rollout/checkpoint_store.cpp
+++ b/src/rollout/checkpoint_store.cpp
@@ -38,28 +38,28 @@
 
 } // namespace
 
-void checkpoint_store::reach(const samples::checkpoint& record)
+void checkpoint_store::advance(const samples::checkpoint& record)
 {
     {
         const std::lock_guard lock(mutex_);
-        writer_.reach(record);
+        writer_.advance(record);
     }
     tick();
 }
 
 void checkpoint_store::tick()
 {
-    bool must_read = false;
+    bool begin_read = false;
     std::optional<samples::checkpoint_write> change;
     {
         const std::lock_guard lock(mutex_);
-        must_read = writer_.must_read(steady::now());
-        change = writer_.next(steady::now());
+        begin_read = writer_.begin_read(steady::now());
+        change = writer_.begin_write(steady::now());
     }
     if (change) {
         write(*change);
     }
-    if (must_read) {
+    if (begin_read) {
         load([self = shared_from_this()](const result<stored>& found) {
             const std::lock_guard lock(self->mutex_);
             if (ok(found)) {
--- a/src/rollout/checkpoint_store.hpp
+++ b/src/rollout/checkpoint_store.hpp
@@ -19,7 +19,7 @@
     checkpoint_store(const context& shared, std::string job) : context_(shared), job_(std::move(job)) {}
 
     /// Records the step without waiting; a store that is down delays the record, never the step.
-    void reach(const samples::checkpoint& record);
+    void advance(const samples::checkpoint& record);
     void read(read_done on_done);
     /// Does what is due.
     void tick();
--- a/src/rollout/core/job_shape.cpp
+++ b/src/rollout/core/job_shape.cpp
@@ -19,7 +19,7 @@
     shape.lookahead = idle ? spec.max_staleness : std::min(spec.max_staleness, 1);
     if (spec.plain) {
         shape.lookahead = 0;
-        shape.whole_steps = true;
+        shape.full_steps_only = true;
     }
     return shape;
 }
--- a/src/rollout/core/step_view.cpp
+++ b/src/rollout/core/step_view.cpp
@@ -7,7 +7,7 @@
 policy::step_view step_view_of(const samples::job_state& state, std::size_t free_places, time_point now)
 {
     policy::step_view step{
-        state.shape().slots(), state.filled(state.step()), free_places, state.typical_rate(), {}};
+        state.shape().slots(), state.filled_slots(state.step()), free_places, state.median_rate(), {}};
     const auto running = state.running();
     for (const auto& stream : running) {
         if (stream.slot.step != state.step()) {
@@ -16,7 +16,8 @@
         const auto streams = std::count_if(running.begin(), running.end(),
                                            [&](const auto& other) { return other.slot == stream.slot; });
         step.streams.push_back({stream.id, stream.so_far.spans.tokens() - stream.resumed_tokens,
-                                now - stream.started, now - stream.moved, streams > 1, stream.generated});
+                                now - stream.started, now - stream.last_progress, streams > 1,
+                                stream.generated});
     }
     return step;
 }
--- a/src/rollout/engine_pool.cpp
+++ b/src/rollout/engine_pool.cpp
@@ -161,12 +161,12 @@
     return sum;
 }
 
-std::size_t engine_pool::free_places(std::uint64_t least_version, time_point now) const
+std::size_t engine_pool::free_places(std::uint64_t min_version, time_point now) const
 {
     const std::lock_guard lock(mutex_);
     std::size_t sum = 0;
     for (const auto& engine : views(now)) {
-        const bool would_do = engine.usable && engine.version >= least_version;
+        const bool would_do = engine.usable && engine.version >= min_version;
         sum += would_do ? static_cast<std::size_t>(std::max(0, engine.limit - engine.in_flight)) : 0;
     }
     return sum;
--- a/src/rollout/engine_pool.hpp
+++ b/src/rollout/engine_pool.hpp
@@ -51,7 +51,7 @@
     std::vector<engine_place> places() const;
     /// Streams that all usable engines together may have.
     int capacity(time_point now) const;
-    std::size_t free_places(std::uint64_t least_version, time_point now) const;
+    std::size_t free_places(std::uint64_t min_version, time_point now) const;
     std::optional<std::string> address(const std::string& engine) const;
 
 private:
--- a/src/rollout/job_runner.cpp
+++ b/src/rollout/job_runner.cpp
@@ -23,13 +23,13 @@
 std::string job_runner::sample_id(const samples::slot_key& slot) const
 {
     const auto size = static_cast<std::size_t>(spec_.group_size);
-    return spec_.name + "/" + std::to_string(slot.step) + "/" + std::to_string(slot.place / size) + "/" +
-           std::to_string(slot.place % size);
+    return spec_.name + "/" + std::to_string(slot.step) + "/" + std::to_string(slot.index / size) + "/" +
+           std::to_string(slot.index % size);
 }
 
 const std::string& job_runner::prompt(const samples::slot_key& slot) const
 {
-    const auto group = slot.place / static_cast<std::size_t>(spec_.group_size);
+    const auto group = slot.index / static_cast<std::size_t>(spec_.group_size);
     const auto groups = static_cast<std::size_t>(spec_.groups_per_step);
     return spec_.prompts[(static_cast<std::size_t>(slot.step) * groups + group) % spec_.prompts.size()];
 }
@@ -58,9 +58,9 @@
     return policy::job_share(engines.capacity(now), spec_.weight, weights_);
 }
 
-policy::sample_view job_runner::view_of(const samples::slot_key& slot, std::uint64_t least_version) const
+policy::sample_view job_runner::view_of(const samples::slot_key& slot, std::uint64_t min_version) const
 {
-    return {hash64(prompt(slot)), least_version, {}};
+    return {hash64(prompt(slot)), min_version, {}};
 }
 
 void job_runner::pump()
@@ -91,7 +91,7 @@
         return std::nullopt;
     }
     const auto now = steady::now();
-    const auto place = engines.acquire(view_of(next->slot, next->least_version), spec_.plain, now);
+    const auto place = engines.acquire(view_of(next->slot, next->min_version), spec_.plain, now);
     if (!place) {
         return std::nullopt;
     }
@@ -127,7 +127,7 @@
     auto self = shared_from_this();
     auto generation = std::make_shared<slot_generation>(
         context_, std::move(request),
-        [self, id = stream.id, engine = place.engine](const samples::chunk_facts& chunk,
+        [self, id = stream.id, engine = place.engine](const samples::chunk_info& chunk,
                                                       const std::string& text) {
             self->on_chunk(id, engine, chunk, text);
         },
@@ -192,8 +192,8 @@
     launch(races);
 }
 
-void job_runner::on_chunk(samples::attempt_id id, const std::string& engine,
-                          const samples::chunk_facts& chunk, const std::string& text)
+void job_runner::on_chunk(samples::attempt_id id, const std::string& engine, const samples::chunk_info& chunk,
+                          const std::string& text)
 {
     if (const auto engines = context_.engines.find(spec_.deployment)) {
         engines->note_version(engine, chunk.version);
@@ -211,14 +211,14 @@
         const std::lock_guard lock(mutex_);
         streams_.erase(id);
         ours = state_.now().find(id).has_value();
-        if (end != generation_end::whole) {
-            state_.on_broken(id, end == generation_end::broken);
+        if (end != generation_end::complete) {
+            state_.on_failed(id, end == generation_end::failed);
         }
     }
     if (engines) {
         engines->release(engine);
     }
-    if (end == generation_end::whole) {
+    if (end == generation_end::complete) {
         engines ? engines->note_success(engine) : void();
         on_whole(id);
         return;
@@ -232,7 +232,7 @@
 
 void job_runner::on_whole(samples::attempt_id id)
 {
-    std::optional<samples::product> sample;
+    std::optional<samples::sample_content> sample;
     std::vector<samples::attempt> losers;
     samples::slot_key slot;
     {
@@ -251,7 +251,7 @@
     pump();
 }
 
-void job_runner::score(samples::attempt_id id, const samples::slot_key& slot, samples::product sample)
+void job_runner::score(samples::attempt_id id, const samples::slot_key& slot, samples::sample_content sample)
 {
     score_request request{spec_.scorer, sample_id(slot), prompt(slot), sample.text};
     auto job = std::make_shared<scoring>(
@@ -261,14 +261,14 @@
                 sample.score = value(score);
             }
             else {
-                sample.unscored = describe(failure(score));
+                sample.unscored_reason = describe(failure(score));
             }
             self->on_sample(id, std::move(sample));
         });
     job->start();
 }
 
-void job_runner::on_sample(samples::attempt_id id, samples::product sample)
+void job_runner::on_sample(samples::attempt_id id, samples::sample_content sample)
 {
     {
         const std::lock_guard lock(mutex_);
@@ -302,7 +302,7 @@
     reply.set_job(spec_.name);
     reply.set_owner(context_.settings.vm);
     reply.set_step(state_.now().step());
-    reply.set_ready(static_cast<int>(state_.now().filled(state_.now().step())));
+    reply.set_ready(static_cast<int>(state_.now().filled_slots(state_.now().step())));
     reply.set_running(static_cast<int>(state_.now().in_flight()));
     reply.set_announced_version(state_.now().trainer_version());
     reply.set_wasted_tokens(counts.wasted_tokens);
--- a/src/rollout/job_runner.hpp
+++ b/src/rollout/job_runner.hpp
@@ -37,16 +37,16 @@
     const config::job_spec& spec() const { return spec_; }
 
 private:
-    struct pull_terms {
+    struct pull_options {
         std::uint64_t trainer_version = 0;
-        std::size_t most = 0;
+        std::size_t max_samples = 0;
         milliseconds wait{0};
         bool restarted = false;
     };
     struct waiting_pull {
         std::uint64_t ticket = 0;
         samples::cursor position;
-        pull_terms terms;
+        pull_options terms;
         pull_done on_done;
     };
     struct start_order {
@@ -68,9 +68,9 @@
     int weights_ = 1; ///< of all jobs at the deployment
     time_point weights_due_{};
 
-    void find_lost_cursor(const v1::PullRequest& request, const pull_terms& terms, pull_done on_done);
-    void pull_at(const samples::cursor& presented, const pull_terms& terms, pull_done on_done);
-    v1::PullReply collect(const samples::cursor& position, const pull_terms& terms);
+    void find_lost_cursor(const v1::PullRequest& request, const pull_options& terms, pull_done on_done);
+    void pull_at(const samples::cursor& presented, const pull_options& terms, pull_done on_done);
+    v1::PullReply collect(const samples::cursor& position, const pull_options& terms);
     void answer_waiting();
     void expire(std::uint64_t ticket);
 
@@ -82,15 +82,15 @@
     void launch(const std::vector<start_order>& orders);
     void cancel_streams(const std::vector<samples::attempt>& ended);
     int share_of(engine_pool& engines);
-    policy::sample_view view_of(const samples::slot_key& slot, std::uint64_t least_version) const;
+    policy::sample_view view_of(const samples::slot_key& slot, std::uint64_t min_version) const;
 
-    void on_chunk(samples::attempt_id id, const std::string& engine, const samples::chunk_facts& chunk,
+    void on_chunk(samples::attempt_id id, const std::string& engine, const samples::chunk_info& chunk,
                   const std::string& text);
     void on_end(samples::attempt_id id, const std::string& engine, generation_end end,
                 const std::string& detail);
     void on_whole(samples::attempt_id id);
-    void score(samples::attempt_id id, const samples::slot_key& slot, samples::product sample);
-    void on_sample(samples::attempt_id id, samples::product sample);
+    void score(samples::attempt_id id, const samples::slot_key& slot, samples::sample_content sample);
+    void on_sample(samples::attempt_id id, samples::sample_content sample);
     std::string sample_id(const samples::slot_key& slot) const;
     const std::string& prompt(const samples::slot_key& slot) const;
 };
--- a/src/rollout/job_runner_pulls.cpp
+++ b/src/rollout/job_runner_pulls.cpp
@@ -14,15 +14,16 @@
 
 void job_runner::pull(const v1::PullRequest& request, pull_done on_done)
 {
-    pull_terms terms;
+    pull_options terms;
     terms.trainer_version = request.trainer_version();
-    terms.most = request.max_samples() > 0 ? static_cast<std::size_t>(request.max_samples()) : default_pull;
+    terms.max_samples =
+        request.max_samples() > 0 ? static_cast<std::size_t>(request.max_samples()) : default_pull;
     terms.wait = std::min(milliseconds{request.wait_ms()}, longest_wait);
     if (request.cursor().empty()) {
         find_lost_cursor(request, terms, std::move(on_done));
         return;
     }
-    const auto opened = samples::open_cursor(request.cursor(), context_.settings.tokens.peer);
+    const auto opened = samples::decode_cursor(request.cursor(), context_.settings.tokens.peer);
     if (!ok(opened)) {
         on_done(failure(opened));
         return;
@@ -30,28 +31,30 @@
     pull_at(value(opened), terms, std::move(on_done));
 }
 
-void job_runner::find_lost_cursor(const v1::PullRequest& request, const pull_terms& terms, pull_done on_done)
+void job_runner::find_lost_cursor(const v1::PullRequest& request, const pull_options& terms,
+                                  pull_done on_done)
 {
-    samples::lost_cursor_facts facts{request.trainer_version(), std::nullopt, {}, {}};
+    samples::cursor_recovery facts{request.trainer_version(), std::nullopt, {}, {}};
     if (request.has_begin_step()) {
         facts.begin_step = request.begin_step();
     }
     {
         const std::lock_guard lock(mutex_);
-        facts.known = {state_.now().step(), state_.now().trainer_version()};
+        facts.in_memory = {state_.now().step(), state_.now().trainer_version()};
     }
     auto settle = [self = shared_from_this(), facts, terms,
                    on_done = std::move(on_done)](result<std::optional<samples::checkpoint>> stored) mutable {
         facts.stored = std::move(stored);
-        const auto step = samples::step_for_lost_cursor(facts);
+        const auto step = samples::recovery_step(facts);
         if (!ok(step)) {
             on_done(failure(step));
             return;
         }
         auto restart = terms;
-        restart.restarted = value(step) > 0 || facts.known.trainer_version > 0;
-        self->pull_at(samples::step_start(self->spec_.name, value(step), self->state_.now().shape().slots()),
-                      restart, std::move(on_done));
+        restart.restarted = value(step) > 0 || facts.in_memory.trainer_version > 0;
+        self->pull_at(
+            samples::empty_cursor(self->spec_.name, value(step), self->state_.now().shape().slots()), restart,
+            std::move(on_done));
     };
     if (facts.begin_step) {
         settle(std::optional<samples::checkpoint>());
@@ -60,7 +63,7 @@
     checkpoint_->read(std::move(settle));
 }
 
-void job_runner::pull_at(const samples::cursor& presented, const pull_terms& terms, pull_done on_done)
+void job_runner::pull_at(const samples::cursor& presented, const pull_options& terms, pull_done on_done)
 {
     std::optional<result<v1::PullReply>> reply;
     std::vector<samples::attempt> ended;
@@ -68,7 +71,7 @@
     samples::checkpoint reached;
     {
         const std::lock_guard lock(mutex_);
-        const auto position = state_.now().locate(presented);
+        const auto position = state_.now().resolve(presented);
         if (stopped_) {
             reply = error{error_code::draining, run_state::not_run, "the job moves to another node",
                           milliseconds{200}};
@@ -96,18 +99,18 @@
         context_.loop.after(terms.wait, [self = shared_from_this(), ticket] { self->expire(ticket); });
     }
     cancel_streams(ended);
-    checkpoint_->reach(reached);
+    checkpoint_->advance(reached);
     pump();
 }
 
-v1::PullReply job_runner::collect(const samples::cursor& position, const pull_terms& terms)
+v1::PullReply job_runner::collect(const samples::cursor& position, const pull_options& terms)
 {
-    const auto found = state_.collect(position, terms.trainer_version, terms.most);
+    const auto found = state_.collect(position, terms.trainer_version, terms.max_samples);
     v1::PullReply reply;
     for (const auto& item : found.samples) {
         *reply.add_samples() = to_message(item, spec_, sample_id(item.slot), prompt(item.slot));
     }
-    reply.set_cursor(samples::seal(found.next, context_.settings.tokens.peer));
+    reply.set_cursor(samples::encode_cursor(found.next, context_.settings.tokens.peer));
     reply.set_step(position.step);
     reply.set_step_complete(found.step_complete);
     reply.set_discarded_stale(state_.now().counts().discarded_stale);
@@ -122,7 +125,7 @@
     {
         const std::lock_guard lock(mutex_);
         for (auto it = waiting_.begin(); it != waiting_.end();) {
-            const auto position = state_.now().locate(it->position);
+            const auto position = state_.now().resolve(it->position);
             if (!ok(position)) {
                 answers.emplace_back(std::move(it->on_done), failure(position));
                 it = waiting_.erase(it);
--- a/src/rollout/recorded_job.cpp
+++ b/src/rollout/recorded_job.cpp
@@ -25,11 +25,11 @@
     return all;
 }
 
-json places(const samples::delivery& found)
+json indices(const samples::delivery& found)
 {
     json all = json::array();
     for (const auto& item : found.samples) {
-        all.push_back(item.slot.place);
+        all.push_back(item.slot.index);
     }
     return all;
 }
@@ -65,15 +65,15 @@
 }
 
 samples::delivery recorded_job::collect(const samples::cursor& position, std::uint64_t trainer_version,
-                                        std::size_t most)
+                                        std::size_t max_samples)
 {
-    auto found = state_.collect(position, trainer_version, most);
+    auto found = state_.collect(position, trainer_version, max_samples);
     if (!found.samples.empty()) {
         record("collect", {{"step", position.step},
                            {"taken", bits(position.taken)},
                            {"version", trainer_version},
-                           {"most", most},
-                           {"served", places(found)}});
+                           {"most", max_samples},
+                           {"served", indices(found)}});
     }
     return found;
 }
@@ -83,7 +83,7 @@
     auto stream = state_.begin(slot, engine, now);
     log_.on() ? log_.write("job", "begin", now,
                            {{"step", slot.step},
-                            {"place", slot.place},
+                            {"place", slot.index},
                             {"engine", engine},
                             {"id", stream.id},
                             {"resumed", stream.resumed_tokens}})
@@ -97,7 +97,7 @@
     auto stream = state_.race(slot, engine, now);
     if (stream && log_.on()) {
         log_.write("job", "race", now,
-                   {{"step", slot.step}, {"place", slot.place}, {"engine", engine}, {"id", stream->id}});
+                   {{"step", slot.step}, {"place", slot.index}, {"engine", engine}, {"id", stream->id}});
     }
     return stream;
 }
@@ -117,24 +117,24 @@
     return state_.on_chunk(id, text, version, tokens, now);
 }
 
-std::optional<samples::product> recorded_job::on_generated(samples::attempt_id id,
-                                                           std::vector<samples::attempt>& losers)
+std::optional<samples::sample_content> recorded_job::on_generated(samples::attempt_id id,
+                                                                  std::vector<samples::attempt>& losers)
 {
     auto made = state_.on_generated(id, losers);
     record("generated", {{"id", id}, {"in_time", made.has_value()}, {"losers", ids(losers)}});
     return made;
 }
 
-void recorded_job::on_ready(samples::attempt_id id, samples::product sample)
+void recorded_job::on_ready(samples::attempt_id id, samples::sample_content sample)
 {
     record("ready", {{"id", id}});
     state_.on_ready(id, std::move(sample));
 }
 
-void recorded_job::on_broken(samples::attempt_id id, bool keep)
+void recorded_job::on_failed(samples::attempt_id id, bool keep)
 {
     record("broken", {{"id", id}, {"keep", keep}});
-    state_.on_broken(id, keep);
+    state_.on_failed(id, keep);
 }
 
 std::vector<policy::straggler_decision> recorded_job::stragglers(std::size_t free_places, time_point now)
--- a/src/rollout/recorded_job.hpp
+++ b/src/rollout/recorded_job.hpp
@@ -15,17 +15,17 @@
     // The events of samples::job_state.
     std::vector<samples::attempt> on_pull(const samples::cursor& position, std::uint64_t trainer_version);
     samples::delivery collect(const samples::cursor& position, std::uint64_t trainer_version,
-                              std::size_t most);
+                              std::size_t max_samples);
     samples::attempt begin(const samples::slot_key& slot, const std::string& engine, time_point now);
     std::optional<samples::attempt> race(const samples::slot_key& slot, const std::string& engine,
                                          time_point now);
     std::optional<samples::attempt> interrupt(samples::attempt_id id);
     bool on_chunk(samples::attempt_id id, const std::string& text, std::uint64_t version, int tokens,
                   time_point now);
-    std::optional<samples::product> on_generated(samples::attempt_id id,
-                                                 std::vector<samples::attempt>& losers);
-    void on_ready(samples::attempt_id id, samples::product sample);
-    void on_broken(samples::attempt_id id, bool keep);
+    std::optional<samples::sample_content> on_generated(samples::attempt_id id,
+                                                        std::vector<samples::attempt>& losers);
+    void on_ready(samples::attempt_id id, samples::sample_content sample);
+    void on_failed(samples::attempt_id id, bool keep);
     /// What the straggler policy chose; recorded where it chose anything.
     std::vector<policy::straggler_decision> stragglers(std::size_t free_places, time_point now);
 
--- a/src/rollout/sample_message.cpp
+++ b/src/rollout/sample_message.cpp
@@ -9,8 +9,8 @@
     v1::Sample sample;
     sample.set_id(id);
     sample.set_step(item.slot.step);
-    sample.set_group(static_cast<int>(item.slot.place / size));
-    sample.set_index(static_cast<int>(item.slot.place % size));
+    sample.set_group(static_cast<int>(item.slot.index / size));
+    sample.set_index(static_cast<int>(item.slot.index % size));
     sample.set_prompt(prompt);
     sample.set_text(item.sample.text);
     for (const auto& part : item.sample.spans.spans()) {
@@ -20,7 +20,7 @@
     }
     sample.set_oldest_version(item.sample.spans.oldest());
     sample.set_score(item.sample.score);
-    sample.set_unscored(item.sample.unscored);
+    sample.set_unscored(item.sample.unscored_reason);
     return sample;
 }
 
--- a/src/rollout/slot_generation.cpp
+++ b/src/rollout/slot_generation.cpp
@@ -75,9 +75,9 @@
 
 void slot_generation::take(const target::v1::GenerateChunk& chunk)
 {
-    const samples::chunk_facts facts{chunk.request_id(), chunk.sequence(), chunk.tokens(),
-                                     chunk.version(),    chunk.done(),     chunk.total_tokens()};
-    const auto verdict = check_.take(facts);
+    const samples::chunk_info facts{chunk.request_id(), chunk.sequence(), chunk.tokens(),
+                                    chunk.version(),    chunk.done(),     chunk.total_tokens()};
+    const auto verdict = check_.check(facts);
     if (context_.records.on()) {
         context_.records.write("stream", "chunk", steady::now(),
                                {{"stream", request_.request_id},
@@ -98,21 +98,21 @@
 {
     span_.note("outcome", ok(outcome) ? "ok" : describe(failure(outcome)));
     span_.end();
-    switch (check_.state()) {
-    case samples::chunk_verdict::crossed:
-        on_end_(generation_end::untrusted, "a chunk of another stream came");
+    switch (check_.verdict()) {
+    case samples::chunk_verdict::mismatched:
+        on_end_(generation_end::invalid, "a chunk of another stream came");
         return;
-    case samples::chunk_verdict::unlabelled:
-        on_end_(generation_end::untrusted, "a chunk without a version label voids the sample");
+    case samples::chunk_verdict::unversioned:
+        on_end_(generation_end::invalid, "a chunk without a version label voids the sample");
         return;
     case samples::chunk_verdict::accepted:
         break;
     }
     if (!ok(outcome)) {
-        on_end_(generation_end::broken, describe(failure(outcome)));
+        on_end_(generation_end::failed, describe(failure(outcome)));
         return;
     }
-    on_end_(check_.whole() ? generation_end::whole : generation_end::broken, "the stream is not whole");
+    on_end_(check_.complete() ? generation_end::complete : generation_end::failed, "the stream is not whole");
 }
 
 } // namespace vanillagauge::rollout
--- a/src/rollout/slot_generation.hpp
+++ b/src/rollout/slot_generation.hpp
@@ -25,14 +25,14 @@
 };
 
 enum class generation_end {
-    whole,
-    broken,    ///< what came so far is sound
-    untrusted, ///< crossed or unlabelled: nothing of it may be used
+    complete,
+    failed,  ///< what came so far is sound
+    invalid, ///< crossed or unlabelled: nothing of it may be used
 };
 
 class slot_generation : public std::enable_shared_from_this<slot_generation> {
 public:
-    using chunk_handler = std::function<void(const samples::chunk_facts&, const std::string& text)>;
+    using chunk_handler = std::function<void(const samples::chunk_info&, const std::string& text)>;
     using end_handler = std::function<void(generation_end, const std::string& detail)>;
 
     slot_generation(const context& shared, generation_request request, chunk_handler on_chunk,
@@ -47,7 +47,7 @@
     generation_request request_;
     chunk_handler on_chunk_;
     end_handler on_end_;
-    samples::stream_check check_;
+    samples::stream_validator check_;
     observe::span span_;
     std::mutex mutex_;
     std::string address_;
--- a/src/samples/checkpoint.cpp
+++ b/src/samples/checkpoint.cpp
@@ -2,7 +2,7 @@
 
 namespace vanillagauge::samples {
 
-void checkpoint_writer::reach(const checkpoint& record)
+void checkpoint_writer::advance(const checkpoint& record)
 {
     if (record.step > newest_.step) {
         newest_ = record;
@@ -11,7 +11,7 @@
 
 void checkpoint_writer::on_written(std::uint64_t object_version)
 {
-    busy_ = false;
+    pending_ = false;
     stored_ = writing_;
     object_version_ = object_version;
 }
@@ -19,12 +19,12 @@
 // Another owner may have written a later step: it stands, since steps only grow.
 void checkpoint_writer::on_read(const std::optional<checkpoint>& stored, std::uint64_t object_version)
 {
-    busy_ = false;
-    known_ = true;
+    pending_ = false;
+    loaded_ = true;
     stored_ = stored;
     object_version_ = object_version;
     if (stored) {
-        reach(*stored);
+        advance(*stored);
     }
 }
 
@@ -32,27 +32,27 @@
 // the next write would conflict for ever. Reading first settles it.
 void checkpoint_writer::on_failed(time_point now)
 {
-    busy_ = false;
-    known_ = false;
+    pending_ = false;
+    loaded_ = false;
     not_before_ = now + retry_pause;
 }
 
-bool checkpoint_writer::must_read(time_point now)
+bool checkpoint_writer::begin_read(time_point now)
 {
-    if (busy_ || known_ || now < not_before_) {
+    if (pending_ || loaded_ || now < not_before_) {
         return false;
     }
-    busy_ = true;
+    pending_ = true;
     return true;
 }
 
-std::optional<checkpoint_write> checkpoint_writer::next(time_point now)
+std::optional<checkpoint_write> checkpoint_writer::begin_write(time_point now)
 {
-    const bool due = known_ && newest_.step > (stored_ ? stored_->step : 0);
-    if (busy_ || !due || now < not_before_) {
+    const bool due = loaded_ && newest_.step > (stored_ ? stored_->step : 0);
+    if (pending_ || !due || now < not_before_) {
         return std::nullopt;
     }
-    busy_ = true;
+    pending_ = true;
     writing_ = newest_;
     return checkpoint_write{newest_, object_version_};
 }
@@ -61,7 +61,7 @@
 // through a successor's steps, so its own memory proves nothing. The trainer has published since the newest
 // record: it has trained on a step whose acknowledgement nobody holds. In both, the trainer's own records
 // (`begin_step`) settle it.
-result<std::int64_t> step_for_lost_cursor(const lost_cursor_facts& facts)
+result<std::int64_t> recovery_step(const cursor_recovery& facts)
 {
     if (facts.begin_step) {
         return *facts.begin_step;
@@ -72,7 +72,7 @@
                      "begin_step or come back",
                      seconds{1}};
     }
-    checkpoint newest = facts.known;
+    checkpoint newest = facts.in_memory;
     const auto& stored = value(facts.stored);
     if (stored && stored->step >= newest.step) {
         newest = *stored;
--- a/src/samples/checkpoint.hpp
+++ b/src/samples/checkpoint.hpp
@@ -27,7 +27,7 @@
 class checkpoint_writer {
 public:
     // Events.
-    void reach(const checkpoint& record);
+    void advance(const checkpoint& record);
     void on_written(std::uint64_t object_version);
     /// What is stored now: after a conflict, after a write whose outcome is unknown, or at the start.
     void on_read(const std::optional<checkpoint>& stored, std::uint64_t object_version);
@@ -35,13 +35,13 @@
     void on_failed(time_point now);
 
     // Decisions; each is to be followed by the event that answers it.
-    bool must_read(time_point now);
-    std::optional<checkpoint_write> next(time_point now);
+    bool begin_read(time_point now);
+    std::optional<checkpoint_write> begin_write(time_point now);
 
     // Queries.
     const checkpoint& newest() const { return newest_; }
     std::int64_t recorded_step() const { return stored_ ? stored_->step : 0; }
-    bool settled() const { return stored_.has_value() && *stored_ == newest_; }
+    bool up_to_date() const { return stored_.has_value() && *stored_ == newest_; }
 
 private:
     static constexpr milliseconds retry_pause{1000};
@@ -49,21 +49,21 @@
     std::optional<checkpoint> stored_;
     std::optional<checkpoint> writing_;
     std::uint64_t object_version_ = 0;
-    bool known_ = false; ///< what the store holds has been read or written
-    bool busy_ = false;
+    bool loaded_ = false; ///< what the store holds has been read or written
+    bool pending_ = false;
     time_point not_before_{};
 };
 
 /// What a trainer without a cursor gets.
-struct lost_cursor_facts {
+struct cursor_recovery {
     std::uint64_t trainer_version = 0;
     std::optional<std::int64_t> begin_step; ///< the trainer's own records name the step
-    checkpoint known;                       ///< this owner's memory
+    checkpoint in_memory;                   ///< this owner's memory
     result<std::optional<checkpoint>> stored;
 };
 
 /// The step to serve from its start. An error where serving any step could double or lose one.
-result<std::int64_t> step_for_lost_cursor(const lost_cursor_facts& facts);
+result<std::int64_t> recovery_step(const cursor_recovery& facts);
 
 } // namespace vanillagauge::samples
 
--- a/src/samples/cursor.cpp
+++ b/src/samples/cursor.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr char separator = '.';
-constexpr std::size_t most_slots = 1U << 20U;
+constexpr std::size_t max_slots = 1U << 20U;
 constexpr unsigned bits_per_digit = 4;
 
 std::string keyed_hash(const std::string& text, const std::string& secret)
@@ -22,8 +22,8 @@
     HMAC(EVP_sha256(), secret.data(), static_cast<int>(secret.size()),
          reinterpret_cast<const unsigned char*>(text.data()), text.size(), bytes.data(), &size);
     std::string digits;
-    for (unsigned place = 0; place < 16 && place < size; ++place) {
-        digits += hex(bytes.at(place)).substr(14);
+    for (unsigned index = 0; index < 16 && index < size; ++index) {
+        digits += hex(bytes.at(index)).substr(14);
     }
     return digits;
 }
@@ -32,10 +32,10 @@
 {
     constexpr std::string_view digits = "0123456789abcdef";
     std::string text;
-    for (std::size_t place = 0; place < taken.size(); place += bits_per_digit) {
+    for (std::size_t index = 0; index < taken.size(); index += bits_per_digit) {
         unsigned digit = 0;
-        for (std::size_t bit = 0; bit < bits_per_digit && place + bit < taken.size(); ++bit) {
-            digit |= taken[place + bit] ? 1U << bit : 0U;
+        for (std::size_t bit = 0; bit < bits_per_digit && index + bit < taken.size(); ++bit) {
+            digit |= taken[index + bit] ? 1U << bit : 0U;
         }
         text += digits[digit];
     }
@@ -45,12 +45,12 @@
 bool parse_bitmap(const std::string& text, std::vector<bool>& taken)
 {
     constexpr std::string_view digits = "0123456789abcdef";
-    for (std::size_t place = 0; place < taken.size(); ++place) {
-        const auto digit = digits.find(text[place / bits_per_digit]);
+    for (std::size_t index = 0; index < taken.size(); ++index) {
+        const auto digit = digits.find(text[index / bits_per_digit]);
         if (digit == std::string_view::npos) {
             return false;
         }
-        taken[place] = ((digit >> (place % bits_per_digit)) & 1U) != 0;
+        taken[index] = ((digit >> (index % bits_per_digit)) & 1U) != 0;
     }
     return true;
 }
@@ -65,7 +65,7 @@
 } // namespace
 
 // The form is HASH.STEP.SLOTS.BITMAP.JOB; the job comes last because its name may hold any character.
-std::string seal(const cursor& position, const std::string& secret)
+std::string encode_cursor(const cursor& position, const std::string& secret)
 {
     std::string body = std::to_string(position.step);
     body += separator + std::to_string(position.taken.size());
@@ -74,7 +74,7 @@
     return keyed_hash(body, secret) + separator + body;
 }
 
-result<cursor> open_cursor(const std::string& text, const std::string& secret)
+result<cursor> decode_cursor(const std::string& text, const std::string& secret)
 {
     const error forged{error_code::forged_cursor, run_state::not_run,
                        "expected a cursor from an earlier reply, found text whose hash does not fit"};
@@ -95,7 +95,7 @@
     const bool numbers =
         parse_number(std::string_view(body).substr(0, step_end), position.step) &&
         parse_number(std::string_view(body).substr(step_end + 1, slots_end - step_end - 1), slots);
-    if (!numbers || slots > most_slots) {
+    if (!numbers || slots > max_slots) {
         return forged;
     }
     position.taken.resize(slots);
@@ -107,7 +107,7 @@
     return position;
 }
 
-cursor step_start(const std::string& job, std::int64_t step, std::size_t slots)
+cursor empty_cursor(const std::string& job, std::int64_t step, std::size_t slots)
 {
     return {job, step, std::vector<bool>(slots, false)};
 }
--- a/src/samples/cursor.hpp
+++ b/src/samples/cursor.hpp
@@ -20,12 +20,12 @@
 };
 
 /// All slots of a step in one line of text, with a keyed hash over it.
-std::string seal(const cursor& position, const std::string& secret);
+std::string encode_cursor(const cursor& position, const std::string& secret);
 /// `forged_cursor` where the hash does not fit or the text is no cursor.
-result<cursor> open_cursor(const std::string& text, const std::string& secret);
+result<cursor> decode_cursor(const std::string& text, const std::string& secret);
 
 /// A cursor at the start of a step.
-cursor step_start(const std::string& job, std::int64_t step, std::size_t slots);
+cursor empty_cursor(const std::string& job, std::int64_t step, std::size_t slots);
 bool complete(const cursor& position);
 
 } // namespace vanillagauge::samples
--- a/src/samples/job_state.cpp
+++ b/src/samples/job_state.cpp
@@ -10,13 +10,13 @@
     return {error_code::stale_cursor, run_state::not_run, std::move(detail)};
 }
 
-std::uint64_t less_by(std::uint64_t version, std::int64_t versions)
+std::uint64_t saturating_subtract(std::uint64_t version, std::int64_t versions)
 {
     const auto by = static_cast<std::uint64_t>(std::max<std::int64_t>(versions, 0));
     return version > by ? version - by : 0;
 }
 
-constexpr std::size_t rates_kept = 32;
+constexpr std::size_t rate_window = 32;
 
 int own_tokens(const attempt& stream)
 {
@@ -37,20 +37,20 @@
     }
 }
 
-job_state::slot_state* job_state::slot_at(const slot_key& key)
+job_state::slot_state* job_state::find_slot(const slot_key& key)
 {
     const auto found = steps_.find(key.step);
-    return found == steps_.end() || key.place >= found->second.size() ? nullptr : &found->second[key.place];
+    return found == steps_.end() || key.index >= found->second.size() ? nullptr : &found->second[key.index];
 }
 
-result<cursor> job_state::locate(const cursor& presented) const
+result<cursor> job_state::resolve(const cursor& presented) const
 {
     if (presented.job != shape_.job || presented.taken.size() != shape_.slots()) {
         return stale("the cursor belongs to another job or to an earlier form of this one");
     }
     cursor position = presented;
     if (complete(position)) {
-        position = step_start(shape_.job, presented.step + 1, shape_.slots());
+        position = empty_cursor(shape_.job, presented.step + 1, shape_.slots());
     }
     if (position.step < step_) {
         return stale("expected a cursor of step " + std::to_string(step_) + ", found step " +
@@ -69,7 +69,7 @@
         open_window();
     }
     discard_stale();
-    for (auto& more : {acknowledge(position), cancel_hopeless()}) {
+    for (auto& more : {acknowledge(position), cancel_stale()}) {
         ended.insert(ended.end(), more.begin(), more.end());
     }
     return ended;
@@ -79,8 +79,8 @@
 {
     std::vector<attempt> ended;
     for (const auto id : streams) {
-        ended.push_back(take_out(id));
-        waste(own_tokens(ended.back()));
+        ended.push_back(remove_attempt(id));
+        count_wasted(own_tokens(ended.back()));
         ++counts_.cancelled;
     }
     return ended;
@@ -99,8 +99,8 @@
     const auto last = steps_.lower_bound(step);
     for (auto closed = steps_.begin(); closed != last; ++closed) {
         for (const auto& slot : closed->second) {
-            waste(slot.ready && !slot.served ? slot.ready->spans.tokens() : 0);
-            waste(slot.partial.spans.tokens());
+            count_wasted(slot.ready && !slot.delivered ? slot.ready->spans.tokens() : 0);
+            count_wasted(slot.partial.spans.tokens());
         }
     }
     steps_.erase(steps_.begin(), last);
@@ -114,11 +114,11 @@
 {
     std::vector<attempt_id> needless;
     auto& slots = steps_[position.step];
-    for (std::size_t place = 0; place < slots.size(); ++place) {
-        slots[place].acknowledged = position.taken[place];
+    for (std::size_t index = 0; index < slots.size(); ++index) {
+        slots[index].acknowledged = position.taken[index];
     }
     for (const auto& [id, stream] : attempts_) {
-        if (stream.slot.step == position.step && position.taken[stream.slot.place]) {
+        if (stream.slot.step == position.step && position.taken[stream.slot.index]) {
             needless.push_back(id);
         }
     }
@@ -128,7 +128,7 @@
 // The trainer publishes about one version a step, so a sample of k steps ahead is pulled by a trainer k
 // versions on. What is too old for that already would be thrown away at the pull after costing all its
 // tokens.
-bool job_state::can_make_it(const product& sample, std::int64_t step) const
+bool job_state::fresh_at_pull(const sample_content& sample, std::int64_t step) const
 {
     const auto oldest = sample.spans.oldest();
     if (oldest == 0) {
@@ -138,12 +138,12 @@
     return fresh(oldest, trainer_version_ + ahead, shape_.max_staleness);
 }
 
-std::vector<attempt> job_state::cancel_hopeless()
+std::vector<attempt> job_state::cancel_stale()
 {
     std::vector<attempt_id> hopeless;
     for (const auto& [id, stream] : attempts_) {
-        if (!can_make_it(stream.so_far, stream.slot.step)) {
-            waste(stream.resumed_tokens);
+        if (!fresh_at_pull(stream.so_far, stream.slot.step)) {
+            count_wasted(stream.resumed_tokens);
             hopeless.push_back(id);
         }
     }
@@ -154,36 +154,36 @@
 {
     for (auto& [step, slots] : steps_) {
         for (auto& slot : slots) {
-            if (slot.ready && !slot.acknowledged && !can_make_it(*slot.ready, step)) {
+            if (slot.ready && !slot.acknowledged && !fresh_at_pull(*slot.ready, step)) {
                 ++counts_.discarded_stale;
-                waste(slot.ready->spans.tokens());
-                slot.served = false;
+                count_wasted(slot.ready->spans.tokens());
+                slot.delivered = false;
                 slot.ready.reset();
             }
-            if (!can_make_it(slot.partial, step)) {
-                waste(slot.partial.spans.tokens());
+            if (!fresh_at_pull(slot.partial, step)) {
+                count_wasted(slot.partial.spans.tokens());
                 slot.partial = {};
             }
         }
     }
 }
 
-delivery job_state::collect(const cursor& position, std::uint64_t trainer_version, std::size_t most)
+delivery job_state::collect(const cursor& position, std::uint64_t trainer_version, std::size_t max_samples)
 {
     delivery found;
     found.next = position;
     const auto step = steps_.find(position.step);
-    const bool held_back = shape_.whole_steps && filled(position.step) < shape_.slots();
+    const bool held_back = shape_.full_steps_only && filled_slots(position.step) < shape_.slots();
     if (step == steps_.end() || held_back) {
         return found;
     }
-    for (std::size_t place = 0; place < step->second.size() && found.samples.size() < most; ++place) {
-        auto& slot = step->second[place];
-        const bool wanted = slot.ready && !position.taken[place];
+    for (std::size_t index = 0; index < step->second.size() && found.samples.size() < max_samples; ++index) {
+        auto& slot = step->second[index];
+        const bool wanted = slot.ready && !position.taken[index];
         if (wanted && fresh(slot.ready->spans.oldest(), trainer_version, shape_.max_staleness)) {
-            found.samples.push_back({{position.step, place}, *slot.ready});
-            found.next.taken[place] = true;
-            slot.served = true;
+            found.samples.push_back({{position.step, index}, *slot.ready});
+            found.next.taken[index] = true;
+            slot.delivered = true;
             ++counts_.delivered;
         }
     }
@@ -191,7 +191,8 @@
     return found;
 }
 
-attempt job_state::add_attempt(const slot_key& slot, const std::string& engine, product from, time_point now)
+attempt job_state::add_attempt(const slot_key& slot, const std::string& engine, sample_content from,
+                               time_point now)
 {
     attempt stream;
     stream.id = next_attempt_++;
@@ -200,16 +201,16 @@
     stream.resumed_tokens = from.spans.tokens();
     stream.so_far = std::move(from);
     stream.started = now;
-    stream.moved = now;
-    ++slot_at(slot)->streams;
+    stream.last_progress = now;
+    ++find_slot(slot)->streams;
     attempts_[stream.id] = stream;
     return stream;
 }
 
 attempt job_state::begin(const slot_key& slot, const std::string& engine, time_point now)
 {
-    product from = std::move(slot_at(slot)->partial);
-    slot_at(slot)->partial = {};
+    sample_content from = std::move(find_slot(slot)->partial);
+    find_slot(slot)->partial = {};
     counts_.resumed += from.spans.tokens() > 0 ? 1 : 0;
     return add_attempt(slot, engine, std::move(from), now);
 }
@@ -219,7 +220,7 @@
     const auto first = std::find_if(attempts_.begin(), attempts_.end(), [&](const auto& entry) {
         return entry.second.slot == slot && !entry.second.generated;
     });
-    const auto* state = slot_at(slot);
+    const auto* state = find_slot(slot);
     if (first == attempts_.end() || state == nullptr || state->streams != 1) {
         return std::nullopt;
     }
@@ -227,12 +228,12 @@
     return add_attempt(slot, engine, first->second.so_far, now);
 }
 
-attempt job_state::take_out(attempt_id id)
+attempt job_state::remove_attempt(attempt_id id)
 {
     const auto found = attempts_.find(id);
     attempt stream = std::move(found->second);
     attempts_.erase(found);
-    if (auto* slot = slot_at(stream.slot)) {
+    if (auto* slot = find_slot(stream.slot)) {
         --slot->streams;
     }
     return stream;
@@ -245,7 +246,7 @@
         return std::nullopt;
     }
     const attempt stream = found->second;
-    on_broken(id, true);
+    on_failed(id, true);
     return stream;
 }
 
@@ -258,22 +259,23 @@
     }
     found->second.so_far.text += text;
     found->second.so_far.spans.add(version, tokens);
-    found->second.moved = now;
+    found->second.last_progress = now;
     return true;
 }
 
 // First whole answer wins: from here no other stream can fill the slot, and the losers' tokens are the price.
-std::optional<product> job_state::on_generated(attempt_id id, std::vector<attempt>& losers)
+std::optional<sample_content> job_state::on_generated(attempt_id id, std::vector<attempt>& losers)
 {
     const auto found = attempts_.find(id);
     if (found == attempts_.end()) {
         return std::nullopt;
     }
     found->second.generated = true;
-    const auto took = std::chrono::duration<double>(found->second.moved - found->second.started).count();
+    const auto took =
+        std::chrono::duration<double>(found->second.last_progress - found->second.started).count();
     if (took > 0) {
         rates_.push_back(own_tokens(found->second) / took);
-        rates_.size() > rates_kept ? rates_.pop_front() : void();
+        rates_.size() > rate_window ? rates_.pop_front() : void();
     }
     std::vector<attempt_id> others;
     for (const auto& [other, stream] : attempts_) {
@@ -282,21 +284,21 @@
         }
     }
     for (const auto other : others) {
-        losers.push_back(take_out(other));
+        losers.push_back(remove_attempt(other));
         const bool winner_used_it = losers.back().resumed_tokens < found->second.resumed_tokens;
-        waste(own_tokens(losers.back()) - (winner_used_it ? found->second.resumed_tokens : 0));
+        count_wasted(own_tokens(losers.back()) - (winner_used_it ? found->second.resumed_tokens : 0));
         ++counts_.cancelled;
     }
     return found->second.so_far;
 }
 
-void job_state::on_ready(attempt_id id, product sample)
+void job_state::on_ready(attempt_id id, sample_content sample)
 {
     if (!attempts_.contains(id)) {
         return;
     }
-    const attempt stream = take_out(id);
-    if (auto* slot = slot_at(stream.slot)) {
+    const attempt stream = remove_attempt(id);
+    if (auto* slot = find_slot(stream.slot)) {
         slot->ready = std::move(sample);
         slot->partial = {};
     }
@@ -304,19 +306,19 @@
 }
 
 // While a racing stream still runs, the slot goes on with that one.
-void job_state::on_broken(attempt_id id, bool keep)
+void job_state::on_failed(attempt_id id, bool keep)
 {
     if (!attempts_.contains(id)) {
         return;
     }
-    attempt stream = take_out(id);
-    auto* slot = slot_at(stream.slot);
+    attempt stream = remove_attempt(id);
+    auto* slot = find_slot(stream.slot);
     if (slot == nullptr || slot->streams > 0) {
-        waste(own_tokens(stream));
+        count_wasted(own_tokens(stream));
         return;
     }
-    if (!keep || !can_make_it(stream.so_far, stream.slot.step)) {
-        waste(stream.so_far.spans.tokens());
+    if (!keep || !fresh_at_pull(stream.so_far, stream.slot.step)) {
+        count_wasted(stream.so_far.spans.tokens());
         return;
     }
     slot->partial = std::move(stream.so_far);
@@ -327,16 +329,17 @@
     for (const auto& [step, slots] : steps_) {
         const auto ahead = step - step_;
         const auto bound = ahead == 0 ? shape_.max_staleness : shape_.planned_staleness;
-        for (std::size_t place = 0; place < slots.size(); ++place) {
-            if (!slots[place].filled() && slots[place].streams == 0) {
-                return candidate_slot{{step, place}, less_by(trainer_version_ + std::uint64_t(ahead), bound)};
+        for (std::size_t index = 0; index < slots.size(); ++index) {
+            if (!slots[index].filled() && slots[index].streams == 0) {
+                return candidate_slot{{step, index},
+                                      saturating_subtract(trainer_version_ + std::uint64_t(ahead), bound)};
             }
         }
     }
     return std::nullopt;
 }
 
-double job_state::typical_rate() const
+double job_state::median_rate() const
 {
     if (rates_.empty()) {
         return 0;
@@ -363,7 +366,7 @@
     return found == attempts_.end() ? std::nullopt : std::optional<attempt>(found->second);
 }
 
-std::size_t job_state::filled(std::int64_t step) const
+std::size_t job_state::filled_slots(std::int64_t step) const
 {
     const auto found = steps_.find(step);
     if (found == steps_.end()) {
--- a/src/samples/job_state.hpp
+++ b/src/samples/job_state.hpp
@@ -4,7 +4,7 @@
 
 #include "base/base.hpp"
 #include "samples/cursor.hpp"
-#include "samples/product.hpp"
+#include "samples/sample_content.hpp"
 
 #include <deque>
 #include <map>
@@ -17,10 +17,10 @@
     std::string job;
     std::size_t group_size = 1;
     std::size_t groups = 1;
-    int max_staleness = 0;     ///< in weight versions, at the pull
-    int planned_staleness = 0; ///< how old a sample of a later step may be planned to be at its pull
-    int lookahead = 0;         ///< how many steps after the trainer's are generated
-    bool whole_steps = false;  ///< deliver a step only when all of it is ready
+    int max_staleness = 0;        ///< in weight versions, at the pull
+    int planned_staleness = 0;    ///< how old a sample of a later step may be planned to be at its pull
+    int lookahead = 0;            ///< how many steps after the trainer's are generated
+    bool full_steps_only = false; ///< deliver a step only when all of it is ready
 
     std::size_t slots() const { return group_size * groups; }
 };
@@ -32,21 +32,21 @@
     attempt_id id = 0;
     slot_key slot;
     std::string engine;
-    product so_far;
+    sample_content so_far;
     int resumed_tokens = 0; ///< tokens of `so_far` that earlier attempts made
     time_point started;
-    time_point moved;       ///< when its last chunk came
-    bool generated = false; ///< whole, and with the scorer
+    time_point last_progress; ///< when its last chunk came
+    bool generated = false;   ///< whole, and with the scorer
 };
 
 struct candidate_slot {
     slot_key slot;
-    std::uint64_t least_version = 0; ///< an engine with older weights could not make the bound
+    std::uint64_t min_version = 0; ///< an engine with older weights could not make the bound
 };
 
 struct delivered {
     slot_key slot;
-    product sample;
+    sample_content sample;
 };
 
 struct delivery {
@@ -73,7 +73,7 @@
     /// in time ends early.
     std::vector<attempt> on_pull(const cursor& position, std::uint64_t trainer_version);
     /// Takes what the position lacks. Judged against the version the trainer stated in this very request.
-    delivery collect(const cursor& position, std::uint64_t trainer_version, std::size_t most);
+    delivery collect(const cursor& position, std::uint64_t trainer_version, std::size_t max_samples);
     /// Starts a stream at the engine; it goes on from what an earlier one left.
     attempt begin(const slot_key& slot, const std::string& engine, time_point now);
     /// A second stream beside the running one, from the same text.
@@ -83,15 +83,15 @@
     /// False where the attempt has been cancelled: its chunk counts for nothing.
     bool on_chunk(attempt_id id, const std::string& text, std::uint64_t version, int tokens, time_point now);
     /// Its stream ended whole; what races it is to be cancelled. Empty product: it was too late itself.
-    std::optional<product> on_generated(attempt_id id, std::vector<attempt>& losers);
+    std::optional<sample_content> on_generated(attempt_id id, std::vector<attempt>& losers);
     /// Scored, or not to be scored: the sample is ready.
-    void on_ready(attempt_id id, product sample);
+    void on_ready(attempt_id id, sample_content sample);
     /// The stream broke. `keep`: what came so far is sound, and the slot resumes from it.
-    void on_broken(attempt_id id, bool keep);
+    void on_failed(attempt_id id, bool keep);
 
     // Queries.
     /// What the cursor says of this job now: `stale_cursor` for another job's, an old one, an old form.
-    result<cursor> locate(const cursor& presented) const;
+    result<cursor> resolve(const cursor& presented) const;
     /// The first slot that waits for an engine, in the order of steps.
     std::optional<candidate_slot> next_slot() const;
     std::vector<attempt> running() const;
@@ -99,19 +99,19 @@
     std::int64_t step() const { return step_; }
     std::uint64_t trainer_version() const { return trainer_version_; }
     /// How many of the step's slots need no more work.
-    std::size_t filled(std::int64_t step) const;
+    std::size_t filled_slots(std::int64_t step) const;
     std::size_t in_flight() const { return attempts_.size(); }
     /// Tokens a second of the streams that ended whole lately: their median; 0: none did.
-    double typical_rate() const;
+    double median_rate() const;
     const job_counts& counts() const { return counts_; }
     const job_shape& shape() const { return shape_; }
 
 private:
     struct slot_state {
-        std::optional<product> ready;
-        product partial; ///< what an interrupted stream left
+        std::optional<sample_content> ready;
+        sample_content partial; ///< what an interrupted stream left
         int streams = 0;
-        bool served = false;       ///< in some reply, which may have been lost
+        bool delivered = false;    ///< in some reply, which may have been lost
         bool acknowledged = false; ///< by the cursor presented last
 
         bool filled() const { return ready.has_value() || acknowledged; }
@@ -128,16 +128,16 @@
     job_counts counts_;
 
     void open_window();
-    slot_state* slot_at(const slot_key& key);
-    bool can_make_it(const product& sample, std::int64_t step) const;
-    void waste(int tokens) { counts_.wasted_tokens += tokens; }
-    attempt take_out(attempt_id id);
+    slot_state* find_slot(const slot_key& key);
+    bool fresh_at_pull(const sample_content& sample, std::int64_t step) const;
+    void count_wasted(int tokens) { counts_.wasted_tokens += tokens; }
+    attempt remove_attempt(attempt_id id);
     std::vector<attempt> close_steps_before(std::int64_t step);
     std::vector<attempt> acknowledge(const cursor& position);
     std::vector<attempt> cancel(const std::vector<attempt_id>& streams);
-    std::vector<attempt> cancel_hopeless();
+    std::vector<attempt> cancel_stale();
     void discard_stale();
-    attempt add_attempt(const slot_key& slot, const std::string& engine, product from, time_point now);
+    attempt add_attempt(const slot_key& slot, const std::string& engine, sample_content from, time_point now);
 };
 
 } // namespace vanillagauge::samples
--- a/src/samples/product.hpp
+++ b/src/samples/sample_content.hpp
@@ -1,8 +1,8 @@
 /// What an engine has made for a slot so far, and where the slot lies.
-#ifndef VANILLAGAUGE_SAMPLES_PRODUCT_HPP
-#define VANILLAGAUGE_SAMPLES_PRODUCT_HPP
+#ifndef VANILLAGAUGE_SAMPLES_SAMPLE_CONTENT_HPP
+#define VANILLAGAUGE_SAMPLES_SAMPLE_CONTENT_HPP
 
-#include "samples/labels.hpp"
+#include "samples/version_spans.hpp"
 
 #include <cstddef>
 #include <cstdint>
@@ -13,20 +13,20 @@
 
 struct slot_key {
     std::int64_t step = 0;
-    std::size_t place = 0; ///< group * group_size + index
+    std::size_t index = 0; ///< group * group_size + index
 
     friend bool operator==(const slot_key&, const slot_key&) = default;
     friend bool operator<(const slot_key& left, const slot_key& right)
     {
-        return std::tie(left.step, left.place) < std::tie(right.step, right.place);
+        return std::tie(left.step, left.index) < std::tie(right.step, right.index);
     }
 };
 
-struct product {
+struct sample_content {
     std::string text;
-    labels spans;
+    version_spans spans;
     double score = 0;
-    std::string unscored; ///< why there is no score; empty: scored, or the job asks for none
+    std::string unscored_reason; ///< why there is no score; empty: scored, or the job asks for none
 };
 
 } // namespace vanillagauge::samples
--- a/src/samples/samples.hpp
+++ b/src/samples/samples.hpp
@@ -5,8 +5,8 @@
 #include "samples/checkpoint.hpp"
 #include "samples/cursor.hpp"
 #include "samples/job_state.hpp"
-#include "samples/labels.hpp"
-#include "samples/product.hpp"
-#include "samples/stream_check.hpp"
+#include "samples/sample_content.hpp"
+#include "samples/stream_validator.hpp"
+#include "samples/version_spans.hpp"
 
 #endif
--- a/src/samples/stream_check.cpp
+++ b/src/samples/stream_validator.cpp
@@ -1,31 +1,31 @@
-#include "samples/stream_check.hpp"
+#include "samples/stream_validator.hpp"
 
 namespace vanillagauge::samples {
 
 // A late chunk of another stream on a reused connection would put foreign text, or foreign versions, into a
 // sample; the trainer would learn from a lie and nothing would show it. The request id and an unbroken
 // sequence tell every such chunk; the token count at the end tells a lost tail.
-chunk_verdict stream_check::take(const chunk_facts& chunk)
+chunk_verdict stream_validator::check(const chunk_info& chunk)
 {
-    if (state_ != chunk_verdict::accepted) {
-        return state_;
+    if (verdict_ != chunk_verdict::accepted) {
+        return verdict_;
     }
     if (chunk.request_id != request_id_ || chunk.sequence != next_sequence_ || ended_) {
-        state_ = chunk_verdict::crossed;
-        whole_ = false;
-        return state_;
+        verdict_ = chunk_verdict::mismatched;
+        complete_ = false;
+        return verdict_;
     }
     if (chunk.version == 0) {
-        state_ = chunk_verdict::unlabelled;
-        return state_;
+        verdict_ = chunk_verdict::unversioned;
+        return verdict_;
     }
     ++next_sequence_;
     tokens_ += chunk.tokens;
     if (chunk.done) {
         ended_ = true;
-        whole_ = chunk.total_tokens == tokens_;
+        complete_ = chunk.total_tokens == tokens_;
     }
-    return state_;
+    return verdict_;
 }
 
 } // namespace vanillagauge::samples
--- a/src/samples/stream_check.hpp
+++ b/src/samples/stream_validator.hpp
@@ -1,13 +1,13 @@
 /// Whether the chunks of an engine's stream belong to one request, in order and whole.
-#ifndef VANILLAGAUGE_SAMPLES_STREAM_CHECK_HPP
-#define VANILLAGAUGE_SAMPLES_STREAM_CHECK_HPP
+#ifndef VANILLAGAUGE_SAMPLES_STREAM_VALIDATOR_HPP
+#define VANILLAGAUGE_SAMPLES_STREAM_VALIDATOR_HPP
 
 #include <cstdint>
 #include <string>
 
 namespace vanillagauge::samples {
 
-struct chunk_facts {
+struct chunk_info {
     std::string request_id;
     int sequence = 0;
     int tokens = 0;
@@ -18,27 +18,27 @@
 
 enum class chunk_verdict {
     accepted,
-    crossed,    ///< of another request, repeated, out of order, or after the end
-    unlabelled, ///< names no weight version
+    mismatched,  ///< of another request, repeated, out of order, or after the end
+    unversioned, ///< names no weight version
 };
 
-class stream_check {
+class stream_validator {
 public:
-    explicit stream_check(std::string request_id) : request_id_(std::move(request_id)) {}
+    explicit stream_validator(std::string request_id) : request_id_(std::move(request_id)) {}
 
     /// Once a chunk was not accepted, no later one is.
-    chunk_verdict take(const chunk_facts& chunk);
+    chunk_verdict check(const chunk_info& chunk);
     /// All tokens that the engine says it made have come.
-    bool whole() const { return whole_; }
-    chunk_verdict state() const { return state_; }
+    bool complete() const { return complete_; }
+    chunk_verdict verdict() const { return verdict_; }
 
 private:
     std::string request_id_;
     int next_sequence_ = 0;
     int tokens_ = 0;
     bool ended_ = false;
-    bool whole_ = false;
-    chunk_verdict state_ = chunk_verdict::accepted;
+    bool complete_ = false;
+    chunk_verdict verdict_ = chunk_verdict::accepted;
 };
 
 } // namespace vanillagauge::samples
--- a/src/samples/labels.cpp
+++ b/src/samples/version_spans.cpp
@@ -1,14 +1,14 @@
-#include "samples/labels.hpp"
+#include "samples/version_spans.hpp"
 
 #include <algorithm>
 #include <numeric>
 
 namespace vanillagauge::samples {
 
-void labels::add(std::uint64_t version, int tokens)
+void version_spans::add(std::uint64_t version, int tokens)
 {
     if (version == 0) {
-        unlabelled_ = true;
+        unversioned_ = true;
     }
     if (tokens <= 0) {
         return;
@@ -20,7 +20,7 @@
     spans_.push_back({version, tokens});
 }
 
-std::uint64_t labels::oldest() const
+std::uint64_t version_spans::oldest() const
 {
     std::uint64_t found = spans_.empty() ? 0 : spans_.front().version;
     for (const auto& part : spans_) {
@@ -29,7 +29,7 @@
     return found;
 }
 
-int labels::tokens() const
+int version_spans::tokens() const
 {
     return std::accumulate(spans_.begin(), spans_.end(), 0,
                            [](int sum, const version_span& part) { return sum + part.tokens; });
--- a/src/samples/labels.hpp
+++ b/src/samples/version_spans.hpp
@@ -1,6 +1,6 @@
 /// Which weight versions produced a sample, token span by token span, as the engines' streams tell it.
-#ifndef VANILLAGAUGE_SAMPLES_LABELS_HPP
-#define VANILLAGAUGE_SAMPLES_LABELS_HPP
+#ifndef VANILLAGAUGE_SAMPLES_VERSION_SPANS_HPP
+#define VANILLAGAUGE_SAMPLES_VERSION_SPANS_HPP
 
 #include <cstdint>
 #include <vector>
@@ -14,7 +14,7 @@
     friend bool operator==(const version_span&, const version_span&) = default;
 };
 
-class labels {
+class version_spans {
 public:
     /// Adds a chunk's tokens. Version 0 is an engine's missing label: it makes the sample void for good.
     void add(std::uint64_t version, int tokens);
@@ -23,11 +23,11 @@
     /// 0 where nothing was added.
     std::uint64_t oldest() const;
     int tokens() const;
-    bool unlabelled() const { return unlabelled_; }
+    bool unversioned() const { return unversioned_; }
 
 private:
     std::vector<version_span> spans_;
-    bool unlabelled_ = false;
+    bool unversioned_ = false;
 };
 
 /// True where a sample whose oldest span is `oldest` may still go to a trainer at `trainer_version`.
--- a/tests/samples/job_state_tests.cpp
+++ b/tests/samples/job_state_tests.cpp
@@ -38,7 +38,7 @@
 
 cursor begin_step(std::int64_t step)
 {
-    return step_start("job", step, small_job().slots());
+    return empty_cursor("job", step, small_job().slots());
 }
 
 TEST(job_state, serves_each_slot_once_along_the_cursor)
@@ -56,7 +56,7 @@
             }
             position = taken.next;
         }
-        const auto next = job.locate(position);
+        const auto next = job.resolve(position);
         ASSERT_TRUE(ok(next));
         position = value(next);
     }
@@ -82,9 +82,9 @@
 {
     job_state job(small_job());
     job.on_pull(begin_step(3), 1);
-    const auto old = job.locate(begin_step(2));
-    const auto foreign = job.locate(step_start("another", 3, 4));
-    const auto resized = job.locate(step_start("job", 3, 8));
+    const auto old = job.resolve(begin_step(2));
+    const auto foreign = job.resolve(empty_cursor("another", 3, 4));
+    const auto resized = job.resolve(empty_cursor("job", 3, 8));
     for (const auto* refused : {&old, &foreign, &resized}) {
         ASSERT_FALSE(ok(*refused));
         EXPECT_EQ(failure(*refused).code, error_code::stale_cursor);
@@ -142,12 +142,12 @@
     shape.planned_staleness = 1;
     job_state job(shape);
     job.on_pull(begin_step(0), 7);
-    EXPECT_EQ(job.next_slot()->least_version, 5U);
+    EXPECT_EQ(job.next_slot()->min_version, 5U);
     fill(job, 0, 7);
     EXPECT_EQ(job.next_slot()->slot.step, 1);
-    EXPECT_EQ(job.next_slot()->least_version, 7U);
+    EXPECT_EQ(job.next_slot()->min_version, 7U);
     fill(job, 1, 7);
-    EXPECT_EQ(job.next_slot()->least_version, 8U);
+    EXPECT_EQ(job.next_slot()->min_version, 8U);
 }
 
 // The engine dies in the middle of a sample that had already seen one swap. The sample goes on elsewhere,
@@ -159,7 +159,7 @@
     const auto first = job.begin({0, 0}, "engine-1", start);
     job.on_chunk(first.id, "a ", 2, 4, start);
     job.on_chunk(first.id, "b ", 3, 4, start);
-    job.on_broken(first.id, true);
+    job.on_failed(first.id, true);
     const auto second = job.begin({0, 0}, "engine-2", start);
     EXPECT_EQ(second.so_far.text, "a b ");
     EXPECT_EQ(second.resumed_tokens, 8);
@@ -175,7 +175,7 @@
     job.on_pull(begin_step(0), 1);
     const auto stream = job.begin({0, 0}, "engine", start);
     job.on_chunk(stream.id, "a", 1, 4, start);
-    job.on_broken(stream.id, false);
+    job.on_failed(stream.id, false);
     EXPECT_EQ(job.begin({0, 0}, "engine", start).resumed_tokens, 0);
     EXPECT_EQ(job.counts().wasted_tokens, 4);
 }
@@ -202,7 +202,7 @@
 TEST(job_state, holds_a_plain_job_back_until_the_step_is_whole)
 {
     auto shape = small_job();
-    shape.whole_steps = true;
+    shape.full_steps_only = true;
     job_state job(shape);
     job.on_pull(begin_step(0), 1);
     finish(job, job.begin({0, 0}, "engine", start), 1);
@@ -211,31 +211,31 @@
     EXPECT_EQ(job.collect(begin_step(0), 1, 8).samples.size(), 4U);
 }
 
-TEST(stream_check, notices_crossed_repeated_and_unlabelled_chunks)
+TEST(stream_validator, notices_crossed_repeated_and_unlabelled_chunks)
 {
-    const chunk_facts sound{"r", 0, 4, 1, false, 0};
-    auto crossed = sound;
-    crossed.request_id = "other";
-    auto unlabelled = sound;
-    unlabelled.version = 0;
-    EXPECT_EQ(stream_check("r").take(crossed), chunk_verdict::crossed);
-    EXPECT_EQ(stream_check("r").take(unlabelled), chunk_verdict::unlabelled);
-    stream_check repeated("r");
-    EXPECT_EQ(repeated.take(sound), chunk_verdict::accepted);
-    EXPECT_EQ(repeated.take(sound), chunk_verdict::crossed);
-    EXPECT_EQ(repeated.take({"r", 1, 4, 1, true, 8}), chunk_verdict::crossed);
-    EXPECT_FALSE(repeated.whole());
+    const chunk_info sound{"r", 0, 4, 1, false, 0};
+    auto mismatched = sound;
+    mismatched.request_id = "other";
+    auto unversioned = sound;
+    unversioned.version = 0;
+    EXPECT_EQ(stream_validator("r").check(mismatched), chunk_verdict::mismatched);
+    EXPECT_EQ(stream_validator("r").check(unversioned), chunk_verdict::unversioned);
+    stream_validator repeated("r");
+    EXPECT_EQ(repeated.check(sound), chunk_verdict::accepted);
+    EXPECT_EQ(repeated.check(sound), chunk_verdict::mismatched);
+    EXPECT_EQ(repeated.check({"r", 1, 4, 1, true, 8}), chunk_verdict::mismatched);
+    EXPECT_FALSE(repeated.complete());
 }
 
-TEST(stream_check, is_whole_only_with_all_the_tokens_that_the_engine_counted)
+TEST(stream_validator, is_whole_only_with_all_the_tokens_that_the_engine_counted)
 {
-    stream_check whole("r");
-    whole.take({"r", 0, 4, 1, false, 0});
-    whole.take({"r", 1, 3, 1, true, 7});
-    EXPECT_TRUE(whole.whole());
-    stream_check cut("r");
-    cut.take({"r", 0, 3, 1, true, 7});
-    EXPECT_FALSE(cut.whole());
+    stream_validator full("r");
+    full.check({"r", 0, 4, 1, false, 0});
+    full.check({"r", 1, 3, 1, true, 7});
+    EXPECT_TRUE(full.complete());
+    stream_validator cut("r");
+    cut.check({"r", 0, 3, 1, true, 7});
+    EXPECT_FALSE(cut.complete());
 }
 
 } // namespace
--- a/tests/traces/replay.cpp
+++ b/tests/traces/replay.cpp
@@ -34,8 +34,8 @@
     int number_ = 1;
     std::map<std::string, samples::job_state> jobs_;
     std::map<std::string, policy::wave_fence> fences_;
-    std::map<std::string, samples::stream_check> streams_;
-    std::map<samples::attempt_id, samples::product> made_;
+    std::map<std::string, samples::stream_validator> streams_;
+    std::map<samples::attempt_id, samples::sample_content> made_;
 
     void feed(const std::string& subject, const json& line)
     {
@@ -66,8 +66,8 @@
 
     static samples::cursor cursor_of(const json& line, const samples::job_state& state)
     {
-        auto position = samples::step_start(state.shape().job, line.at("step").get<std::int64_t>(),
-                                            state.shape().slots());
+        auto position = samples::empty_cursor(state.shape().job, line.at("step").get<std::int64_t>(),
+                                              state.shape().slots());
         const auto bits = line.at("taken").get<std::string>();
         for (std::size_t place = 0; place < bits.size(); ++place) {
             position.taken[place] = bits[place] == '1';
@@ -118,9 +118,9 @@
         const auto taken = state.collect(position, version, line.at("most").get<std::size_t>());
         std::vector<std::size_t> places;
         for (const auto& item : taken.samples) {
-            places.push_back(item.slot.place);
-            found_.served_after_acknowledgement += position.taken[item.slot.place] ? 1 : 0;
-            found_.served_again += found_.served.insert({item.slot.step, item.slot.place}).second ? 0 : 1;
+            places.push_back(item.slot.index);
+            found_.served_after_acknowledgement += position.taken[item.slot.index] ? 1 : 0;
+            found_.served_again += found_.served.insert({item.slot.step, item.slot.index}).second ? 0 : 1;
             const auto bound = state.shape().max_staleness;
             found_.stale_served += samples::fresh(item.sample.spans.oldest(), version, bound) ? 0 : 1;
         }
@@ -201,7 +201,7 @@
         }
         else if (event == "broken") {
             found_.broken += state.find(id) ? 1 : 0;
-            state.on_broken(id, line.at("keep").get<bool>());
+            state.on_failed(id, line.at("keep").get<bool>());
         }
         else if (event == "interrupt") {
             ++found_.interrupted;
@@ -270,11 +270,11 @@
         const auto name = line.at("stream").get<std::string>();
         auto& check = streams_.try_emplace(name, name).first->second;
         const auto verdict =
-            check.take({line.at("request_id").get<std::string>(), line.at("sequence").get<int>(),
-                        line.at("tokens").get<int>(), line.at("version").get<std::uint64_t>(),
-                        line.at("done").get<bool>(), line.at("total").get<int>()});
+            check.check({line.at("request_id").get<std::string>(), line.at("sequence").get<int>(),
+                         line.at("tokens").get<int>(), line.at("version").get<std::uint64_t>(),
+                         line.at("done").get<bool>(), line.at("total").get<int>()});
         compare("verdict on a chunk", line.at("verdict").get<int>(), static_cast<int>(verdict));
-        found_.crossed += verdict == samples::chunk_verdict::crossed ? 1 : 0;
+        found_.crossed += verdict == samples::chunk_verdict::mismatched ? 1 : 0;
     }
 };
 
