--- a/src/rollout/core/step_view.cpp
+++ b/src/rollout/core/step_view.cpp
@@ -4,10 +4,10 @@
 
 namespace vanillagauge::rollout {
 
-policy::step_view step_view_of(const samples::job_state& state, std::size_t free_places, time_point now)
+policy::step_view step_view_of(const samples::job_state& state, std::size_t free_capacity, time_point now)
 {
     policy::step_view step{
-        state.shape().slots(), state.filled_slots(state.step()), free_places, state.median_rate(), {}};
+        state.shape().slots(), state.filled_slots(state.step()), free_capacity, state.median_rate(), {}};
     const auto running = state.running();
     for (const auto& stream : running) {
         if (stream.slot.step != state.step()) {
--- a/src/rollout/core/step_view.hpp
+++ b/src/rollout/core/step_view.hpp
@@ -7,7 +7,7 @@
 
 namespace vanillagauge::rollout {
 
-policy::step_view step_view_of(const samples::job_state& state, std::size_t free_places, time_point now);
+policy::step_view step_view_of(const samples::job_state& state, std::size_t free_capacity, time_point now);
 
 } // namespace vanillagauge::rollout
 
--- a/src/rollout/engine_pool.cpp
+++ b/src/rollout/engine_pool.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr milliseconds first_backoff{250};
-constexpr int most_doublings = 4;
+constexpr int max_doublings = 4;
 
 } // namespace
 
@@ -21,7 +21,7 @@
 
 bool engine_pool::usable(const engine_state& state, time_point now)
 {
-    return !state.ordering && now >= state.not_before;
+    return !state.order_pending && now >= state.backoff_until;
 }
 
 std::vector<policy::engine_view> engine_pool::views(time_point now) const
@@ -36,19 +36,19 @@
     return all;
 }
 
-std::optional<engine_place> engine_pool::acquire(const policy::sample_view& sample, bool in_turn,
-                                                 time_point now)
+std::optional<engine_endpoint> engine_pool::acquire(const policy::sample_view& sample, bool round_robin,
+                                                    time_point now)
 {
     const std::lock_guard lock(mutex_);
     const auto engines = views(now);
-    const auto chosen =
-        in_turn ? policy::place_in_turn(engines, sample, turn_++) : policy::place_sample(engines, sample);
+    const auto chosen = round_robin ? policy::place_in_turn(engines, sample, round_robin_index_++)
+                                    : policy::place_sample(engines, sample);
     if (!chosen) {
         return std::nullopt;
     }
     const auto& target = spec_.targets[*chosen];
     ++engines_.at(target.id).in_flight;
-    return engine_place{target.id, target.address};
+    return engine_endpoint{target.id, target.address};
 }
 
 void engine_pool::release(const std::string& engine)
@@ -57,31 +57,31 @@
     --engines_.at(engine).in_flight;
 }
 
-void engine_pool::note_version(const std::string& engine, std::uint64_t version)
+void engine_pool::set_version(const std::string& engine, std::uint64_t version)
 {
     const std::lock_guard lock(mutex_);
     engines_.at(engine).version = version;
 }
 
-void engine_pool::note_report(const std::string& engine, const engine_report& report, time_point asked)
+void engine_pool::on_report(const std::string& engine, const engine_report& report, time_point requested_at)
 {
     const std::lock_guard lock(mutex_);
     auto& state = engines_.at(engine);
     state.limit = report.capacity > 0 ? report.capacity : state.limit;
-    if (!state.ordering && asked > state.ordered) {
+    if (!state.order_pending && requested_at > state.last_order) {
         state.version = report.version;
     }
 }
 
-void engine_pool::note_failure(const std::string& engine, time_point now)
+void engine_pool::on_failure(const std::string& engine, time_point now)
 {
     const std::lock_guard lock(mutex_);
     auto& state = engines_.at(engine);
-    state.not_before = now + first_backoff * (1 << std::min(state.failures, most_doublings));
+    state.backoff_until = now + first_backoff * (1 << std::min(state.failures, max_doublings));
     ++state.failures;
 }
 
-void engine_pool::note_success(const std::string& engine)
+void engine_pool::on_success(const std::string& engine)
 {
     const std::lock_guard lock(mutex_);
     engines_.at(engine).failures = 0;
@@ -93,33 +93,33 @@
     held_ = hold;
 }
 
-void engine_pool::set_fetch(const std::string& engine, bool asking, std::uint64_t granted_version)
+void engine_pool::set_fetch(const std::string& engine, bool fetch_pending, std::uint64_t granted_version)
 {
     const std::lock_guard lock(mutex_);
     auto& state = engines_.at(engine);
-    state.asking_fetch = asking;
+    state.fetch_pending = fetch_pending;
     state.fetched_version = std::max(state.fetched_version, granted_version);
 }
 
 void engine_pool::begin_order(const std::string& engine)
 {
     const std::lock_guard lock(mutex_);
-    engines_.at(engine).ordering = true;
+    engines_.at(engine).order_pending = true;
 }
 
 void engine_pool::end_order(const std::string& engine, std::optional<std::uint64_t> in_force, time_point now)
 {
     const std::lock_guard lock(mutex_);
     auto& state = engines_.at(engine);
-    state.ordering = false;
-    state.ordered = now;
+    state.order_pending = false;
+    state.last_order = now;
     if (in_force) {
         state.version = *in_force;
         state.order_failures = 0;
         return;
     }
     ++state.order_failures;
-    state.order_failed = now;
+    state.last_order_failure = now;
 }
 
 config::deployment_spec engine_pool::spec() const
@@ -135,16 +135,16 @@
     for (const auto& target : spec_.targets) {
         const auto& state = engines_.at(target.id);
         all.push_back({target.id, state.version, state.in_flight, state.fetched_version >= announced,
-                       state.asking_fetch, state.ordering, target.leaving, now >= state.not_before,
-                       state.order_failures, state.order_failed});
+                       state.fetch_pending, state.order_pending, target.leaving, now >= state.backoff_until,
+                       state.order_failures, state.last_order_failure});
     }
     return all;
 }
 
-std::vector<engine_place> engine_pool::places() const
+std::vector<engine_endpoint> engine_pool::endpoints() const
 {
     const std::lock_guard lock(mutex_);
-    std::vector<engine_place> all;
+    std::vector<engine_endpoint> all;
     for (const auto& target : spec_.targets) {
         all.push_back({target.id, target.address});
     }
@@ -161,7 +161,7 @@
     return sum;
 }
 
-std::size_t engine_pool::free_places(std::uint64_t min_version, time_point now) const
+std::size_t engine_pool::free_capacity(std::uint64_t min_version, time_point now) const
 {
     const std::lock_guard lock(mutex_);
     std::size_t sum = 0;
--- a/src/rollout/engine_pool.hpp
+++ b/src/rollout/engine_pool.hpp
@@ -15,7 +15,7 @@
 
 namespace vanillagauge::rollout {
 
-struct engine_place {
+struct engine_endpoint {
     std::string engine;
     std::string address;
 };
@@ -32,26 +32,27 @@
     // Commands.
     void update(const config::deployment_spec& spec);
     /// A place at an engine; give it back with `release`. `in_turn` places as the plain baseline does.
-    std::optional<engine_place> acquire(const policy::sample_view& sample, bool in_turn, time_point now);
+    std::optional<engine_endpoint> acquire(const policy::sample_view& sample, bool round_robin,
+                                           time_point now);
     void release(const std::string& engine);
-    void note_version(const std::string& engine, std::uint64_t version);
+    void set_version(const std::string& engine, std::uint64_t version);
     /// `asked`: when the report was asked for. One from before the last order says nothing new.
-    void note_report(const std::string& engine, const engine_report& report, time_point asked);
+    void on_report(const std::string& engine, const engine_report& report, time_point requested_at);
     /// The engine or the way to it failed; it gets nothing for a while that grows with each failure in a row.
-    void note_failure(const std::string& engine, time_point now);
-    void note_success(const std::string& engine);
+    void on_failure(const std::string& engine, time_point now);
+    void on_success(const std::string& engine);
     void hold_new_work(bool hold);
-    void set_fetch(const std::string& engine, bool asking, std::uint64_t granted_version);
+    void set_fetch(const std::string& engine, bool fetch_pending, std::uint64_t granted_version);
     void begin_order(const std::string& engine);
     void end_order(const std::string& engine, std::optional<std::uint64_t> in_force, time_point now);
 
     // Queries.
     config::deployment_spec spec() const;
     std::vector<policy::wave_engine> wave_view(std::uint64_t announced, time_point now) const;
-    std::vector<engine_place> places() const;
+    std::vector<engine_endpoint> endpoints() const;
     /// Streams that all usable engines together may have.
     int capacity(time_point now) const;
-    std::size_t free_places(std::uint64_t min_version, time_point now) const;
+    std::size_t free_capacity(std::uint64_t min_version, time_point now) const;
     std::optional<std::string> address(const std::string& engine) const;
 
 private:
@@ -60,18 +61,18 @@
         int limit = 16; ///< until it has told its capacity
         std::uint64_t version = 0;
         int failures = 0;
-        time_point not_before{};
-        bool asking_fetch = false;
+        time_point backoff_until{};
+        bool fetch_pending = false;
         std::uint64_t fetched_version = 0;
-        bool ordering = false;
+        bool order_pending = false;
         int order_failures = 0;
-        time_point order_failed{};
-        time_point ordered{};
+        time_point last_order_failure{};
+        time_point last_order{};
     };
     mutable std::mutex mutex_;
     config::deployment_spec spec_;
     std::map<std::string, engine_state> engines_;
-    std::size_t turn_ = 0;
+    std::size_t round_robin_index_ = 0;
     bool held_ = false;
 
     std::vector<policy::engine_view> views(time_point now) const;
--- a/src/rollout/job_runner.cpp
+++ b/src/rollout/job_runner.cpp
@@ -7,8 +7,8 @@
 namespace vanillagauge::rollout {
 namespace {
 
-constexpr milliseconds retry_pause{100};
-constexpr milliseconds weights_every{1000};
+constexpr milliseconds retry_delay{100};
+constexpr milliseconds weight_interval{1000};
 
 } // namespace
 
@@ -16,7 +16,7 @@
     : context_(shared), spec_(std::move(spec)),
       stream_prefix_(shared.settings.vm + "-" + hex(node::new_incarnation())),
       checkpoint_(std::make_shared<checkpoint_store>(shared, spec_.name)),
-      state_(shared.records, shape_of(spec_))
+      job_(shared.records, shape_of(spec_))
 {
 }
 
@@ -37,25 +37,26 @@
 void job_runner::tick()
 {
     rescue_stragglers();
-    pump();
+    start_streams();
     checkpoint_->tick();
 }
 
 // Jobs change seldom and pumping runs with every sample, so their specs are read once a second.
-int job_runner::share_of(engine_pool& engines)
+int job_runner::capacity_share(engine_pool& engines)
 {
     const auto now = steady::now();
     const std::lock_guard lock(mutex_);
-    if (now >= weights_due_) {
-        weights_due_ = now + weights_every;
-        weights_ = 0;
+    if (now >= total_weight_due_) {
+        total_weight_due_ = now + weight_interval;
+        total_weight_ = 0;
         const auto view = context_.keeper.current();
         for (const auto& item : view->config.list("job")) {
             const auto other = config::parse_job(item.name, item.spec_json);
-            weights_ += ok(other) && value(other).deployment == spec_.deployment ? value(other).weight : 0;
+            total_weight_ +=
+                ok(other) && value(other).deployment == spec_.deployment ? value(other).weight : 0;
         }
     }
-    return policy::job_share(engines.capacity(now), spec_.weight, weights_);
+    return policy::job_share(engines.capacity(now), spec_.weight, total_weight_);
 }
 
 policy::sample_view job_runner::view_of(const samples::slot_key& slot, std::uint64_t min_version) const
@@ -63,60 +64,61 @@
     return {hash64(prompt(slot)), min_version, {}};
 }
 
-void job_runner::pump()
+void job_runner::start_streams()
 {
     const auto engines = context_.engines.find(spec_.deployment);
     if (!engines) {
         return;
     }
-    const int share = share_of(*engines);
-    std::vector<start_order> orders;
+    const int share = capacity_share(*engines);
+    std::vector<stream_start> starts;
     {
         const std::lock_guard lock(mutex_);
         while (!stopped_) {
-            auto order = start_next(*engines, share);
-            if (!order) {
+            auto start = start_next(*engines, share);
+            if (!start) {
                 break;
             }
-            orders.push_back(std::move(*order));
+            starts.push_back(std::move(*start));
         }
     }
-    launch(orders);
+    launch(starts);
 }
 
-std::optional<job_runner::start_order> job_runner::start_next(engine_pool& engines, int share)
+std::optional<job_runner::stream_start> job_runner::start_next(engine_pool& engines, int share)
 {
-    const auto next = state_.now().next_slot();
-    if (!next || state_.now().in_flight() >= static_cast<std::size_t>(share)) {
+    const auto next = job_.state().next_slot();
+    if (!next || job_.state().in_flight() >= static_cast<std::size_t>(share)) {
         return std::nullopt;
     }
     const auto now = steady::now();
-    const auto place = engines.acquire(view_of(next->slot, next->min_version), spec_.plain, now);
-    if (!place) {
+    const auto endpoint = engines.acquire(view_of(next->slot, next->min_version), spec_.plain, now);
+    if (!endpoint) {
         return std::nullopt;
     }
-    return make_stream(state_.begin(next->slot, place->engine, now), *place);
+    return make_stream(job_.begin(next->slot, endpoint->engine, now), *endpoint);
 }
 
-std::optional<job_runner::start_order> job_runner::start_race(engine_pool& engines,
-                                                              const samples::attempt& first)
+std::optional<job_runner::stream_start> job_runner::start_race(engine_pool& engines,
+                                                               const samples::attempt& first)
 {
     const auto now = steady::now();
     auto wanted = view_of(first.slot, 0);
     wanted.avoid = first.engine;
-    const auto place = engines.acquire(wanted, spec_.plain, now);
-    if (!place) {
+    const auto endpoint = engines.acquire(wanted, spec_.plain, now);
+    if (!endpoint) {
         return std::nullopt;
     }
-    const auto second = state_.race(first.slot, place->engine, now);
+    const auto second = job_.race(first.slot, endpoint->engine, now);
     if (!second) {
-        engines.release(place->engine);
+        engines.release(endpoint->engine);
         return std::nullopt;
     }
-    return make_stream(*second, *place);
+    return make_stream(*second, *endpoint);
 }
 
-job_runner::start_order job_runner::make_stream(const samples::attempt& stream, const engine_place& place)
+job_runner::stream_start job_runner::make_stream(const samples::attempt& stream,
+                                                 const engine_endpoint& endpoint)
 {
     generation_request request;
     request.request_id = sample_id(stream.slot) + "#" + stream_prefix_ + "-" + std::to_string(stream.id);
@@ -127,21 +129,21 @@
     auto self = shared_from_this();
     auto generation = std::make_shared<slot_generation>(
         context_, std::move(request),
-        [self, id = stream.id, engine = place.engine](const samples::chunk_info& chunk,
-                                                      const std::string& text) {
+        [self, id = stream.id, engine = endpoint.engine](const samples::chunk_info& chunk,
+                                                         const std::string& text) {
             self->on_chunk(id, engine, chunk, text);
         },
-        [self, id = stream.id, engine = place.engine](generation_end end, const std::string& detail) {
+        [self, id = stream.id, engine = endpoint.engine](generation_end end, const std::string& detail) {
             self->on_end(id, engine, end, detail);
         });
     streams_[stream.id] = generation;
-    return {std::move(generation), place.address};
+    return {std::move(generation), endpoint.address};
 }
 
-void job_runner::launch(const std::vector<start_order>& orders)
+void job_runner::launch(const std::vector<stream_start>& starts)
 {
-    for (const auto& order : orders) {
-        order.generation->start(order.address);
+    for (const auto& start : starts) {
+        start.generation->start(start.address);
     }
 }
 
@@ -166,19 +168,19 @@
     if (!engines || spec_.plain) {
         return;
     }
-    std::vector<start_order> races;
+    std::vector<stream_start> races;
     std::vector<samples::attempt> ended;
     {
         const std::lock_guard lock(mutex_);
         const auto now = steady::now();
-        for (const auto& decision : state_.stragglers(engines->free_places(0, now), now)) {
+        for (const auto& decision : job_.stragglers(engines->free_capacity(0, now), now)) {
             if (decision.action == policy::straggler_action::resume) {
-                if (auto left = state_.interrupt(decision.attempt)) {
+                if (auto left = job_.interrupt(decision.attempt)) {
                     ended.push_back(std::move(*left));
                 }
                 continue;
             }
-            const auto first = state_.now().find(decision.attempt);
+            const auto first = job_.state().find(decision.attempt);
             auto race = first ? start_race(*engines, *first) : std::nullopt;
             if (race) {
                 races.push_back(std::move(*race));
@@ -186,7 +188,7 @@
         }
     }
     for (const auto& stream : ended) {
-        engines->note_failure(stream.engine, steady::now());
+        engines->on_failure(stream.engine, steady::now());
     }
     cancel_streams(ended);
     launch(races);
@@ -196,49 +198,50 @@
                           const std::string& text)
 {
     if (const auto engines = context_.engines.find(spec_.deployment)) {
-        engines->note_version(engine, chunk.version);
+        engines->set_version(engine, chunk.version);
     }
     const std::lock_guard lock(mutex_);
-    state_.on_chunk(id, text, chunk.version, chunk.tokens, steady::now());
+    job_.on_chunk(id, text, chunk.version, chunk.tokens, steady::now());
 }
 
 void job_runner::on_end(samples::attempt_id id, const std::string& engine, generation_end end,
                         const std::string& detail)
 {
     const auto engines = context_.engines.find(spec_.deployment);
-    bool ours = false;
+    bool owned = false;
     {
         const std::lock_guard lock(mutex_);
         streams_.erase(id);
-        ours = state_.now().find(id).has_value();
+        owned = job_.state().find(id).has_value();
         if (end != generation_end::complete) {
-            state_.on_failed(id, end == generation_end::failed);
+            job_.on_failed(id, end == generation_end::failed);
         }
     }
     if (engines) {
         engines->release(engine);
     }
     if (end == generation_end::complete) {
-        engines ? engines->note_success(engine) : void();
-        on_whole(id);
+        engines ? engines->on_success(engine) : void();
+        on_complete(id);
         return;
     }
-    if (ours) {
-        engines ? engines->note_failure(engine, steady::now()) : void();
+    if (owned) {
+        engines ? engines->on_failure(engine, steady::now()) : void();
         observe::log(observe::log_level::warning, "stream_failed", {{"engine", engine}, {"detail", detail}});
     }
-    context_.loop.after(ours ? retry_pause : milliseconds{0}, [self = shared_from_this()] { self->pump(); });
+    context_.loop.after(owned ? retry_delay : milliseconds{0},
+                        [self = shared_from_this()] { self->start_streams(); });
 }
 
-void job_runner::on_whole(samples::attempt_id id)
+void job_runner::on_complete(samples::attempt_id id)
 {
     std::optional<samples::sample_content> sample;
     std::vector<samples::attempt> losers;
     samples::slot_key slot;
     {
         const std::lock_guard lock(mutex_);
-        const auto stream = state_.now().find(id);
-        sample = state_.on_generated(id, losers);
+        const auto stream = job_.state().find(id);
+        sample = job_.on_generated(id, losers);
         slot = stream ? stream->slot : slot;
     }
     cancel_streams(losers);
@@ -248,7 +251,7 @@
     else if (sample) {
         on_sample(id, std::move(*sample));
     }
-    pump();
+    start_streams();
 }
 
 void job_runner::score(samples::attempt_id id, const samples::slot_key& slot, samples::sample_content sample)
@@ -272,9 +275,9 @@
 {
     {
         const std::lock_guard lock(mutex_);
-        state_.on_ready(id, std::move(sample));
+        job_.on_ready(id, std::move(sample));
     }
-    answer_waiting();
+    serve_waiting();
 }
 
 void job_runner::stop()
@@ -284,7 +287,7 @@
     {
         const std::lock_guard lock(mutex_);
         stopped_ = true;
-        ended = state_.now().running();
+        ended = job_.state().running();
         waiting.swap(waiting_);
     }
     cancel_streams(ended);
@@ -297,14 +300,14 @@
 v1::JobStatusReply job_runner::status() const
 {
     const std::lock_guard lock(mutex_);
-    const auto& counts = state_.now().counts();
+    const auto& counts = job_.state().counts();
     v1::JobStatusReply reply;
     reply.set_job(spec_.name);
     reply.set_owner(context_.settings.vm);
-    reply.set_step(state_.now().step());
-    reply.set_ready(static_cast<int>(state_.now().filled_slots(state_.now().step())));
-    reply.set_running(static_cast<int>(state_.now().in_flight()));
-    reply.set_announced_version(state_.now().trainer_version());
+    reply.set_step(job_.state().step());
+    reply.set_ready(static_cast<int>(job_.state().filled_slots(job_.state().step())));
+    reply.set_running(static_cast<int>(job_.state().in_flight()));
+    reply.set_announced_version(job_.state().trainer_version());
     reply.set_wasted_tokens(counts.wasted_tokens);
     reply.set_delivered(counts.delivered);
     reply.set_discarded_stale(counts.discarded_stale);
--- a/src/rollout/job_runner.hpp
+++ b/src/rollout/job_runner.hpp
@@ -46,49 +46,49 @@
     struct waiting_pull {
         std::uint64_t ticket = 0;
         samples::cursor position;
-        pull_options terms;
+        pull_options options;
         pull_done on_done;
     };
-    struct start_order {
+    struct stream_start {
         std::shared_ptr<slot_generation> generation;
         std::string address;
     };
-    using answer = std::pair<pull_done, result<v1::PullReply>>;
+    using pull_result = std::pair<pull_done, result<v1::PullReply>>;
 
     context context_;
     const config::job_spec spec_;
     const std::string stream_prefix_; ///< tells this owner's streams from another's for the same sample
     std::shared_ptr<checkpoint_store> checkpoint_;
     mutable std::mutex mutex_;
-    recorded_job state_;
+    recorded_job job_;
     std::map<samples::attempt_id, std::shared_ptr<slot_generation>> streams_;
     std::deque<waiting_pull> waiting_;
     std::uint64_t next_ticket_ = 0;
     bool stopped_ = false;
-    int weights_ = 1; ///< of all jobs at the deployment
-    time_point weights_due_{};
+    int total_weight_ = 1; ///< of all jobs at the deployment
+    time_point total_weight_due_{};
 
-    void find_lost_cursor(const v1::PullRequest& request, const pull_options& terms, pull_done on_done);
-    void pull_at(const samples::cursor& presented, const pull_options& terms, pull_done on_done);
-    v1::PullReply collect(const samples::cursor& position, const pull_options& terms);
-    void answer_waiting();
+    void recover_cursor(const v1::PullRequest& request, const pull_options& options, pull_done on_done);
+    void pull_at(const samples::cursor& presented, const pull_options& options, pull_done on_done);
+    v1::PullReply collect(const samples::cursor& position, const pull_options& options);
+    void serve_waiting();
     void expire(std::uint64_t ticket);
 
-    void pump();
+    void start_streams();
     void rescue_stragglers();
-    std::optional<start_order> start_next(engine_pool& engines, int share);
-    std::optional<start_order> start_race(engine_pool& engines, const samples::attempt& first);
-    start_order make_stream(const samples::attempt& stream, const engine_place& place);
-    void launch(const std::vector<start_order>& orders);
+    std::optional<stream_start> start_next(engine_pool& engines, int share);
+    std::optional<stream_start> start_race(engine_pool& engines, const samples::attempt& first);
+    stream_start make_stream(const samples::attempt& stream, const engine_endpoint& endpoint);
+    void launch(const std::vector<stream_start>& starts);
     void cancel_streams(const std::vector<samples::attempt>& ended);
-    int share_of(engine_pool& engines);
+    int capacity_share(engine_pool& engines);
     policy::sample_view view_of(const samples::slot_key& slot, std::uint64_t min_version) const;
 
     void on_chunk(samples::attempt_id id, const std::string& engine, const samples::chunk_info& chunk,
                   const std::string& text);
     void on_end(samples::attempt_id id, const std::string& engine, generation_end end,
                 const std::string& detail);
-    void on_whole(samples::attempt_id id);
+    void on_complete(samples::attempt_id id);
     void score(samples::attempt_id id, const samples::slot_key& slot, samples::sample_content sample);
     void on_sample(samples::attempt_id id, samples::sample_content sample);
     std::string sample_id(const samples::slot_key& slot) const;
--- a/src/rollout/job_runner_pulls.cpp
+++ b/src/rollout/job_runner_pulls.cpp
@@ -7,20 +7,20 @@
 namespace vanillagauge::rollout {
 namespace {
 
-constexpr milliseconds longest_wait{20000};
-constexpr std::size_t default_pull = 64;
+constexpr milliseconds max_wait{20000};
+constexpr std::size_t default_max_samples = 64;
 
 } // namespace
 
 void job_runner::pull(const v1::PullRequest& request, pull_done on_done)
 {
-    pull_options terms;
-    terms.trainer_version = request.trainer_version();
-    terms.max_samples =
-        request.max_samples() > 0 ? static_cast<std::size_t>(request.max_samples()) : default_pull;
-    terms.wait = std::min(milliseconds{request.wait_ms()}, longest_wait);
+    pull_options options;
+    options.trainer_version = request.trainer_version();
+    options.max_samples =
+        request.max_samples() > 0 ? static_cast<std::size_t>(request.max_samples()) : default_max_samples;
+    options.wait = std::min(milliseconds{request.wait_ms()}, max_wait);
     if (request.cursor().empty()) {
-        find_lost_cursor(request, terms, std::move(on_done));
+        recover_cursor(request, options, std::move(on_done));
         return;
     }
     const auto opened = samples::decode_cursor(request.cursor(), context_.settings.tokens.peer);
@@ -28,11 +28,11 @@
         on_done(failure(opened));
         return;
     }
-    pull_at(value(opened), terms, std::move(on_done));
+    pull_at(value(opened), options, std::move(on_done));
 }
 
-void job_runner::find_lost_cursor(const v1::PullRequest& request, const pull_options& terms,
-                                  pull_done on_done)
+void job_runner::recover_cursor(const v1::PullRequest& request, const pull_options& options,
+                                pull_done on_done)
 {
     samples::cursor_recovery facts{request.trainer_version(), std::nullopt, {}, {}};
     if (request.has_begin_step()) {
@@ -40,9 +40,9 @@
     }
     {
         const std::lock_guard lock(mutex_);
-        facts.in_memory = {state_.now().step(), state_.now().trainer_version()};
+        facts.in_memory = {job_.state().step(), job_.state().trainer_version()};
     }
-    auto settle = [self = shared_from_this(), facts, terms,
+    auto settle = [self = shared_from_this(), facts, options,
                    on_done = std::move(on_done)](result<std::optional<samples::checkpoint>> stored) mutable {
         facts.stored = std::move(stored);
         const auto step = samples::recovery_step(facts);
@@ -50,10 +50,10 @@
             on_done(failure(step));
             return;
         }
-        auto restart = terms;
+        auto restart = options;
         restart.restarted = value(step) > 0 || facts.in_memory.trainer_version > 0;
         self->pull_at(
-            samples::empty_cursor(self->spec_.name, value(step), self->state_.now().shape().slots()), restart,
+            samples::empty_cursor(self->spec_.name, value(step), self->job_.state().shape().slots()), restart,
             std::move(on_done));
     };
     if (facts.begin_step) {
@@ -63,7 +63,7 @@
     checkpoint_->read(std::move(settle));
 }
 
-void job_runner::pull_at(const samples::cursor& presented, const pull_options& terms, pull_done on_done)
+void job_runner::pull_at(const samples::cursor& presented, const pull_options& options, pull_done on_done)
 {
     std::optional<result<v1::PullReply>> reply;
     std::vector<samples::attempt> ended;
@@ -71,7 +71,7 @@
     samples::checkpoint reached;
     {
         const std::lock_guard lock(mutex_);
-        const auto position = state_.now().resolve(presented);
+        const auto position = job_.state().resolve(presented);
         if (stopped_) {
             reply = error{error_code::draining, run_state::not_run, "the job moves to another node",
                           milliseconds{200}};
@@ -80,15 +80,15 @@
             reply = failure(position);
         }
         else {
-            ended = state_.on_pull(value(position), terms.trainer_version);
-            auto ready = collect(value(position), terms);
-            reached = {state_.now().step(), state_.now().trainer_version()};
-            if (ready.samples_size() > 0 || terms.wait == milliseconds{0}) {
+            ended = job_.on_pull(value(position), options.trainer_version);
+            auto ready = collect(value(position), options);
+            reached = {job_.state().step(), job_.state().trainer_version()};
+            if (ready.samples_size() > 0 || options.wait == milliseconds{0}) {
                 reply = std::move(ready);
             }
             else {
                 ticket = ++next_ticket_;
-                waiting_.push_back({ticket, value(position), terms, on_done});
+                waiting_.push_back({ticket, value(position), options, on_done});
             }
         }
     }
@@ -96,16 +96,16 @@
         on_done(std::move(*reply));
     }
     else {
-        context_.loop.after(terms.wait, [self = shared_from_this(), ticket] { self->expire(ticket); });
+        context_.loop.after(options.wait, [self = shared_from_this(), ticket] { self->expire(ticket); });
     }
     cancel_streams(ended);
     checkpoint_->advance(reached);
-    pump();
+    start_streams();
 }
 
-v1::PullReply job_runner::collect(const samples::cursor& position, const pull_options& terms)
+v1::PullReply job_runner::collect(const samples::cursor& position, const pull_options& options)
 {
-    const auto found = state_.collect(position, terms.trainer_version, terms.max_samples);
+    const auto found = job_.collect(position, options.trainer_version, options.max_samples);
     v1::PullReply reply;
     for (const auto& item : found.samples) {
         *reply.add_samples() = to_message(item, spec_, sample_id(item.slot), prompt(item.slot));
@@ -113,25 +113,25 @@
     reply.set_cursor(samples::encode_cursor(found.next, context_.settings.tokens.peer));
     reply.set_step(position.step);
     reply.set_step_complete(found.step_complete);
-    reply.set_discarded_stale(state_.now().counts().discarded_stale);
-    reply.set_restarted(terms.restarted);
+    reply.set_discarded_stale(job_.state().counts().discarded_stale);
+    reply.set_restarted(options.restarted);
     return reply;
 }
 
 // A pull that waits at a step which another pull has closed gets its answer now; it would wait in vain.
-void job_runner::answer_waiting()
+void job_runner::serve_waiting()
 {
-    std::vector<answer> answers;
+    std::vector<pull_result> answers;
     {
         const std::lock_guard lock(mutex_);
         for (auto it = waiting_.begin(); it != waiting_.end();) {
-            const auto position = state_.now().resolve(it->position);
+            const auto position = job_.state().resolve(it->position);
             if (!ok(position)) {
                 answers.emplace_back(std::move(it->on_done), failure(position));
                 it = waiting_.erase(it);
                 continue;
             }
-            auto reply = collect(it->position, it->terms);
+            auto reply = collect(it->position, it->options);
             if (reply.samples_size() == 0) {
                 ++it;
                 continue;
@@ -155,7 +155,7 @@
             if (it->ticket == ticket) {
                 found = std::move(*it);
                 waiting_.erase(it);
-                reply = collect(found->position, found->terms);
+                reply = collect(found->position, found->options);
                 break;
             }
         }
--- a/src/rollout/main.cpp
+++ b/src/rollout/main.cpp
@@ -11,12 +11,12 @@
 
 using namespace vanillagauge;
 
-constexpr milliseconds tick_every{50};
+constexpr milliseconds tick_interval{50};
 
 void tick_forever(wire::event_loop& loop, rollout::rollout_service& service)
 {
     service.tick();
-    loop.after(tick_every, [&loop, &service] { tick_forever(loop, service); });
+    loop.after(tick_interval, [&loop, &service] { tick_forever(loop, service); });
 }
 
 int run(const config::settings& settings)
--- a/src/rollout/order_fence.cpp
+++ b/src/rollout/order_fence.cpp
@@ -17,7 +17,7 @@
     policy::fence_settings settings;
     settings.self = self;
     settings.enforced = deployment.fencing == config::fencing_mode::enforced;
-    settings.longest_order = longest_order;
+    settings.longest_order = max_order_time;
     return settings;
 }
 
@@ -49,17 +49,17 @@
 {
 }
 
-void order_fence::tick(bool ours, time_point view_updated)
+void order_fence::tick(bool owned, time_point view_updated)
 {
     policy::fence_action action{};
     std::uint64_t expected = 0;
     {
         const std::lock_guard lock(mutex_);
         const auto now = steady::now();
-        fence_.on_view(ours, view_updated, now);
+        fence_.on_view(owned, view_updated, now);
         action = fence_.next(now);
-        const bool changed = ours != ours_;
-        ours_ = ours;
+        const bool changed = owned != owned_;
+        owned_ = owned;
         view_updated_ = view_updated;
         if (changed || action != policy::fence_action::none) {
             record("tick", now, {{"action", static_cast<int>(action)}});
@@ -83,11 +83,11 @@
 
 void order_fence::record(const char* event, time_point now, nlohmann::json fields) const
 {
-    if (context_.records.on()) {
+    if (context_.records.enabled()) {
         fields["deployment"] = name_;
         fields["holder_self"] = self_;
         fields["enforced"] = enforced_;
-        fields["ours"] = ours_;
+        fields["ours"] = owned_;
         fields["updated_us"] = microseconds_of(view_updated_);
         context_.records.write("fence", event, now, std::move(fields));
     }
@@ -124,12 +124,13 @@
     wire::call<v1::StoreReply>(
         context_.keeper.channel(), wire::method<v1::KeeperLocal>("Store"), request,
         options_of(context_.keeper),
-        [self = shared_from_this(), asked = steady::now()](const result<v1::StoreReply>& reply) {
+        [self = shared_from_this(), requested_at = steady::now()](const result<v1::StoreReply>& reply) {
             const std::lock_guard lock(self->mutex_);
             if (ok(reply)) {
-                self->record("written", steady::now(),
-                             {{"version", value(reply).version()}, {"asked_us", microseconds_of(asked)}});
-                self->fence_.on_written(value(reply).version(), asked);
+                self->record(
+                    "written", steady::now(),
+                    {{"version", value(reply).version()}, {"asked_us", microseconds_of(requested_at)}});
+                self->fence_.on_written(value(reply).version(), requested_at);
             }
             else if (failure(reply).code == error_code::conflict) {
                 self->record("conflict", steady::now(), nlohmann::json::object());
@@ -141,14 +142,14 @@
         });
 }
 
-void order_fence::on_number(std::uint64_t seen)
+void order_fence::on_fencing_token(std::uint64_t seen)
 {
     const std::lock_guard lock(mutex_);
     record("number", steady::now(), {{"seen", seen}});
     fence_.on_number(seen);
 }
 
-std::optional<std::uint64_t> order_fence::may_order() const
+std::optional<std::uint64_t> order_fence::fencing_token() const
 {
     const std::lock_guard lock(mutex_);
     const auto now = steady::now();
--- a/src/rollout/order_fence.hpp
+++ b/src/rollout/order_fence.hpp
@@ -11,16 +11,16 @@
 namespace vanillagauge::rollout {
 
 /// How long an order may take; a successor waits it out.
-constexpr milliseconds longest_order{5000};
+constexpr milliseconds max_order_time{5000};
 
 class order_fence : public std::enable_shared_from_this<order_fence> {
 public:
     order_fence(const context& shared, const config::deployment_spec& deployment);
 
     /// Keeps the lease while the view names this process.
-    void tick(bool ours, time_point view_updated);
-    void on_number(std::uint64_t seen);
-    std::optional<std::uint64_t> may_order() const;
+    void tick(bool owned, time_point view_updated);
+    void on_fencing_token(std::uint64_t seen);
+    std::optional<std::uint64_t> fencing_token() const;
 
 private:
     context context_;
@@ -29,7 +29,7 @@
     const bool enforced_;
     mutable std::mutex mutex_;
     policy::wave_fence fence_;
-    bool ours_ = false; ///< as the last view said
+    bool owned_ = false; ///< as the last view said
     time_point view_updated_{};
 
     void read();
--- a/src/rollout/ownership.hpp
+++ b/src/rollout/ownership.hpp
@@ -17,8 +17,8 @@
 /// None where no rollout process is alive.
 std::optional<owner> owner_of(const node::view& view, const std::string& subject);
 
-std::string job_subject(const std::string& job);
-std::string deployment_subject(const std::string& deployment);
+std::string job_key(const std::string& job);
+std::string deployment_key(const std::string& deployment);
 
 } // namespace vanillagauge::rollout
 
--- a/src/rollout/recorded_job.cpp
+++ b/src/rollout/recorded_job.cpp
@@ -48,7 +48,7 @@
 
 void recorded_job::record(const char* event, json fields)
 {
-    if (log_.on()) {
+    if (log_.enabled()) {
         log_.write("job", event, steady::now(), std::move(fields));
     }
 }
@@ -81,13 +81,13 @@
 samples::attempt recorded_job::begin(const samples::slot_key& slot, const std::string& engine, time_point now)
 {
     auto stream = state_.begin(slot, engine, now);
-    log_.on() ? log_.write("job", "begin", now,
-                           {{"step", slot.step},
-                            {"place", slot.index},
-                            {"engine", engine},
-                            {"id", stream.id},
-                            {"resumed", stream.resumed_tokens}})
-              : void();
+    log_.enabled() ? log_.write("job", "begin", now,
+                                {{"step", slot.step},
+                                 {"place", slot.index},
+                                 {"engine", engine},
+                                 {"id", stream.id},
+                                 {"resumed", stream.resumed_tokens}})
+                   : void();
     return stream;
 }
 
@@ -95,7 +95,7 @@
                                                    time_point now)
 {
     auto stream = state_.race(slot, engine, now);
-    if (stream && log_.on()) {
+    if (stream && log_.enabled()) {
         log_.write("job", "race", now,
                    {{"step", slot.step}, {"place", slot.index}, {"engine", engine}, {"id", stream->id}});
     }
@@ -111,7 +111,7 @@
 bool recorded_job::on_chunk(samples::attempt_id id, const std::string& text, std::uint64_t version,
                             int tokens, time_point now)
 {
-    if (log_.on()) {
+    if (log_.enabled()) {
         log_.write("job", "chunk", now, {{"id", id}, {"version", version}, {"tokens", tokens}});
     }
     return state_.on_chunk(id, text, version, tokens, now);
@@ -137,16 +137,16 @@
     state_.on_failed(id, keep);
 }
 
-std::vector<policy::straggler_decision> recorded_job::stragglers(std::size_t free_places, time_point now)
+std::vector<policy::straggler_decision> recorded_job::stragglers(std::size_t free_capacity, time_point now)
 {
-    auto chosen = policy::stragglers(step_view_of(state_, free_places, now));
-    if (!chosen.empty() && log_.on()) {
+    auto chosen = policy::stragglers(step_view_of(state_, free_capacity, now));
+    if (!chosen.empty() && log_.enabled()) {
         json all = json::array();
         for (const auto& decision : chosen) {
             all.push_back(
                 {{"id", decision.attempt}, {"race", decision.action == policy::straggler_action::race}});
         }
-        log_.write("job", "stragglers", now, {{"free_places", free_places}, {"chosen", all}});
+        log_.write("job", "stragglers", now, {{"free_places", free_capacity}, {"chosen", all}});
     }
     return chosen;
 }
--- a/src/rollout/recorded_job.hpp
+++ b/src/rollout/recorded_job.hpp
@@ -27,9 +27,9 @@
     void on_ready(samples::attempt_id id, samples::sample_content sample);
     void on_failed(samples::attempt_id id, bool keep);
     /// What the straggler policy chose; recorded where it chose anything.
-    std::vector<policy::straggler_decision> stragglers(std::size_t free_places, time_point now);
+    std::vector<policy::straggler_decision> stragglers(std::size_t free_capacity, time_point now);
 
-    const samples::job_state& now() const { return state_; }
+    const samples::job_state& state() const { return state_; }
 
 private:
     recorder& log_;
--- a/src/rollout/recorder.cpp
+++ b/src/rollout/recorder.cpp
@@ -2,9 +2,9 @@
 
 namespace vanillagauge::rollout {
 
-recorder::recorder(const std::string& path, std::string vm) : vm_(std::move(vm)), on_(!path.empty())
+recorder::recorder(const std::string& path, std::string vm) : vm_(std::move(vm)), enabled_(!path.empty())
 {
-    if (on_) {
+    if (enabled_) {
         file_.open(path, std::ios::app);
     }
 }
--- a/src/rollout/recorder.hpp
+++ b/src/rollout/recorder.hpp
@@ -17,13 +17,13 @@
     /// An empty path records nothing.
     recorder(const std::string& path, std::string vm);
 
-    bool on() const { return on_; }
+    bool enabled() const { return enabled_; }
     /// Adds the VM and the time in microseconds; subject and event name what the pure code is to be fed with.
     void write(const char* subject, const char* event, time_point now, nlohmann::json fields);
 
 private:
     const std::string vm_;
-    bool on_ = false;
+    bool enabled_ = false;
     std::mutex mutex_;
     std::ofstream file_;
 };
--- a/src/rollout/rollout_service.cpp
+++ b/src/rollout/rollout_service.cpp
@@ -5,14 +5,14 @@
 #include "wire/controller.hpp"
 
 namespace vanillagauge::rollout {
-result<std::shared_ptr<job_runner>> rollout_service::runner(const std::string& job)
+result<std::shared_ptr<job_runner>> rollout_service::find_runner(const std::string& job)
 {
     const auto view = context_.keeper.current();
     const auto item = view->config.find("job", job);
     if (!item) {
         return error{error_code::not_found, run_state::not_run, "no job \"" + job + "\""};
     }
-    const auto found = owner_of(*view, job_subject(job));
+    const auto found = owner_of(*view, job_key(job));
     if (!found) {
         return error{error_code::unavailable, run_state::not_run, "no rollout process is known to be alive",
                      milliseconds{500}};
@@ -39,7 +39,7 @@
 void rollout_service::Pull(google::protobuf::RpcController* control, const v1::PullRequest* request,
                            v1::PullReply* reply, google::protobuf::Closure* done)
 {
-    const auto found = runner(request->job());
+    const auto found = find_runner(request->job());
     if (!ok(found)) {
         wire::from(control).fail(failure(found));
         done->Run();
@@ -61,7 +61,7 @@
 void rollout_service::JobStatus(google::protobuf::RpcController* control, const v1::JobStatusRequest* request,
                                 v1::JobStatusReply* reply, google::protobuf::Closure* done)
 {
-    const auto found = runner(request->job());
+    const auto found = find_runner(request->job());
     if (ok(found)) {
         *reply = value(found)->status();
     }
@@ -94,10 +94,10 @@
     {
         const std::lock_guard lock(mutex_);
         for (auto it = runners_.begin(); it != runners_.end();) {
-            const auto found = owner_of(*view, job_subject(it->first));
-            const bool ours =
+            const auto found = owner_of(*view, job_key(it->first));
+            const bool owned =
                 view->config.find("job", it->first) && found && found->vm == context_.settings.vm;
-            if (ours) {
+            if (owned) {
                 running.push_back(it->second);
                 ++it;
                 continue;
--- a/src/rollout/rollout_service.hpp
+++ b/src/rollout/rollout_service.hpp
@@ -35,7 +35,7 @@
     std::map<std::string, std::shared_ptr<job_runner>> runners_;
     bool stopped_ = false;
 
-    result<std::shared_ptr<job_runner>> runner(const std::string& job);
+    result<std::shared_ptr<job_runner>> find_runner(const std::string& job);
 };
 
 } // namespace vanillagauge::rollout
--- a/src/rollout/scoring.cpp
+++ b/src/rollout/scoring.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 constexpr milliseconds score_timeout{2000};
-constexpr milliseconds first_pause{50};
+constexpr milliseconds first_delay{50};
 /// With the pauses between them these end within nine seconds: a step is not to wait longer for a score.
-constexpr int most_attempts = 4;
+constexpr int max_attempts = 4;
 
 } // namespace
 
@@ -57,11 +57,11 @@
 // the last attempt the sample goes out unscored with the reason: holding it back would stall the whole step.
 void scoring::retry(const error& cause)
 {
-    if (attempts_ >= most_attempts) {
+    if (attempts_ >= max_attempts) {
         on_done_(cause);
         return;
     }
-    context_.loop.after(first_pause * (1 << attempts_), [self = shared_from_this()] { self->start(); });
+    context_.loop.after(first_delay * (1 << attempts_), [self = shared_from_this()] { self->start(); });
 }
 
 } // namespace vanillagauge::rollout
--- a/src/rollout/slot_generation.cpp
+++ b/src/rollout/slot_generation.cpp
@@ -34,8 +34,8 @@
     auto self = shared_from_this();
     auto stop = wire::stream<target::v1::GenerateChunk>(
         *context_.targets.at(engine_address), wire::method<target::v1::Engine>("Generate"), forward, options,
-        [self](const target::v1::GenerateChunk& chunk) { self->take(chunk); },
-        [self](const result<done>& outcome) { self->finish(outcome); });
+        [self](const target::v1::GenerateChunk& chunk) { self->on_chunk_received(chunk); },
+        [self](const result<done>& outcome) { self->on_stream_end(outcome); });
     bool late = false;
     {
         const std::lock_guard lock(mutex_);
@@ -73,12 +73,12 @@
     stop();
 }
 
-void slot_generation::take(const target::v1::GenerateChunk& chunk)
+void slot_generation::on_chunk_received(const target::v1::GenerateChunk& chunk)
 {
     const samples::chunk_info facts{chunk.request_id(), chunk.sequence(), chunk.tokens(),
                                     chunk.version(),    chunk.done(),     chunk.total_tokens()};
     const auto verdict = check_.check(facts);
-    if (context_.records.on()) {
+    if (context_.records.enabled()) {
         context_.records.write("stream", "chunk", steady::now(),
                                {{"stream", request_.request_id},
                                 {"request_id", facts.request_id},
@@ -94,7 +94,7 @@
     }
 }
 
-void slot_generation::finish(const result<done>& outcome)
+void slot_generation::on_stream_end(const result<done>& outcome)
 {
     span_.note("outcome", ok(outcome) ? "ok" : describe(failure(outcome)));
     span_.end();
--- a/src/rollout/slot_generation.hpp
+++ b/src/rollout/slot_generation.hpp
@@ -54,8 +54,8 @@
     wire::call_cancel cancel_;
     bool cancelled_ = false;
 
-    void take(const target::v1::GenerateChunk& chunk);
-    void finish(const result<done>& outcome);
+    void on_chunk_received(const target::v1::GenerateChunk& chunk);
+    void on_stream_end(const result<done>& outcome);
 };
 
 } // namespace vanillagauge::rollout
--- a/src/rollout/weight_rollout.cpp
+++ b/src/rollout/weight_rollout.cpp
@@ -12,15 +12,15 @@
 namespace vanillagauge::rollout {
 namespace {
 
-constexpr milliseconds report_every{500};
+constexpr milliseconds report_interval{500};
 constexpr milliseconds report_timeout{1000};
 constexpr milliseconds fetch_timeout{1000};
-constexpr milliseconds least_fetch_pause{50};
-constexpr milliseconds tell_every{500};
-constexpr milliseconds tell_timeout{1000};
+constexpr milliseconds min_fetch_delay{50};
+constexpr milliseconds announce_interval{500};
+constexpr milliseconds announce_timeout{1000};
 
 /// The oldest version that an engine holds which is to stay.
-std::uint64_t oldest_of(const std::vector<policy::wave_engine>& engines)
+std::uint64_t oldest_version(const std::vector<policy::wave_engine>& engines)
 {
     std::uint64_t oldest = UINT64_MAX;
     for (const auto& engine : engines) {
@@ -48,7 +48,7 @@
         state.announced = version;
         state.weight = weight;
         state.pending[version] = steady::now();
-        next_tell_ = {};
+        next_announcement_ = {};
     }
     context_.loop.post([self = shared_from_this()] { self->tick(); });
 }
@@ -61,25 +61,25 @@
     {
         const std::lock_guard lock(mutex_);
         reports = now >= next_reports_;
-        next_reports_ = reports ? now + report_every : next_reports_;
+        next_reports_ = reports ? now + report_interval : next_reports_;
     }
     for (const auto& [deployment, engines] : context_.engines.all()) {
         advance(deployment, engines, *view);
         if (reports) {
-            ask_reports(engines);
+            request_reports(engines);
         }
     }
 }
 
 void weight_rollout::advance(const std::string& deployment, const pool& engines, const node::view& view)
 {
-    const auto found = owner_of(view, deployment_subject(deployment));
-    const bool ours = found && found->vm == context_.settings.vm;
+    const auto found = owner_of(view, deployment_key(deployment));
+    const bool owned = found && found->vm == context_.settings.vm;
     const auto now = steady::now();
     std::shared_ptr<order_fence> fence;
     std::uint64_t announced = 0;
     policy::wave_weight weight{};
-    bool tell_now = false;
+    bool announcement_due = false;
     {
         const std::lock_guard lock(mutex_);
         auto& state = deployments_[deployment];
@@ -89,34 +89,34 @@
         fence = state.fence;
         announced = state.announced;
         weight = state.weight;
-        tell_now = !ours && found && announced > 0 && now >= next_tell_;
-        next_tell_ = tell_now ? now + tell_every : next_tell_;
+        announcement_due = !owned && found && announced > 0 && now >= next_announcement_;
+        next_announcement_ = announcement_due ? now + announce_interval : next_announcement_;
     }
-    fence->tick(ours, view.updated);
-    if (tell_now) {
-        tell(deployment, found->http_address, announced, weight);
+    fence->tick(owned, view.updated);
+    if (announcement_due) {
+        forward_announcement(deployment, found->http_address, announced, weight);
     }
     const auto engine_states = engines->wave_view(announced, now);
-    note_convergence(deployment, engine_states);
+    record_convergence(deployment, engine_states);
     const auto actions = policy::plan_wave(engine_states, announced, weight, now);
     engines->hold_new_work(actions.hold_new_work);
-    if (!ours || announced == 0) {
+    if (!owned || announced == 0) {
         return;
     }
     for (const auto& engine : actions.fetch) {
         fetch(deployment, engines, engine, announced);
     }
     for (const auto& engine : actions.order) {
-        order(deployment, engines, engine, announced);
+        send_order(deployment, engines, engine, announced);
     }
 }
 
-void weight_rollout::note_convergence(const std::string& deployment,
-                                      const std::vector<policy::wave_engine>& engines)
+void weight_rollout::record_convergence(const std::string& deployment,
+                                        const std::vector<policy::wave_engine>& engines)
 {
     const std::lock_guard lock(mutex_);
     auto& state = deployments_[deployment];
-    const auto held = state.pending.upper_bound(oldest_of(engines));
+    const auto held = state.pending.upper_bound(oldest_version(engines));
     for (auto done = state.pending.begin(); done != held; ++done) {
         context_.metrics.record("vanillagauge_weights_converged", steady::now() - done->second);
     }
@@ -125,15 +125,15 @@
 
 // The deployment's owner orders for all jobs, and a job's owner may be another process. Telling it again and
 // again also informs its successor.
-void weight_rollout::tell(const std::string& deployment, const std::string& address, std::uint64_t version,
-                          policy::wave_weight weight)
+void weight_rollout::forward_announcement(const std::string& deployment, const std::string& address,
+                                          std::uint64_t version, policy::wave_weight weight)
 {
     v1::AnnounceRequest request;
     request.set_deployment(deployment);
     request.set_version(version);
     request.set_weight(static_cast<int>(weight));
     wire::call_options options;
-    options.timeout = tell_timeout;
+    options.timeout = announce_timeout;
     options.token = context_.settings.tokens.trainer;
     wire::call<v1::AnnounceReply>(*peers_.at(address), wire::method<v1::Rollout>("Announce"), request,
                                   options, [](const result<v1::AnnounceReply>&) {});
@@ -160,16 +160,16 @@
                 self->tick();
                 return;
             }
-            const auto pause = std::max(least_fetch_pause, milliseconds{value(reply).retry_after_ms()});
-            self->context_.loop.after(pause, [self, engines, engine] {
+            const auto delay = std::max(min_fetch_delay, milliseconds{value(reply).retry_after_ms()});
+            self->context_.loop.after(delay, [self, engines, engine] {
                 engines->set_fetch(engine, false, 0);
                 self->tick();
             });
         });
 }
 
-void weight_rollout::order(const std::string& deployment, const pool& engines, const std::string& engine,
-                           std::uint64_t version)
+void weight_rollout::send_order(const std::string& deployment, const pool& engines, const std::string& engine,
+                                std::uint64_t version)
 {
     std::shared_ptr<order_fence> fence;
     {
@@ -178,7 +178,7 @@
     }
     const auto address = engines->address(engine);
     // Asked right before each order: a pause since the last check shows here.
-    const auto number = fence->may_order();
+    const auto number = fence->fencing_token();
     if (!address || !number) {
         return;
     }
@@ -188,7 +188,7 @@
     request.set_version(version);
     request.set_fencing(*number);
     wire::call_options options;
-    options.timeout = longest_order;
+    options.timeout = max_order_time;
     auto span = std::make_shared<observe::span>(observe::new_trace(), "rollout.order");
     span->note("engine", engine);
     span->note("version", std::to_string(version));
@@ -204,7 +204,7 @@
                 self->on_ordered(deployment, engines, engine, describe(failure(reply)), std::nullopt);
                 return;
             }
-            fence->on_number(value(reply).fencing());
+            fence->on_fencing_token(value(reply).fencing());
             const auto& answer = value(reply);
             self->on_ordered(deployment, engines, engine, answer.detail(),
                              answer.accepted() ? std::optional(answer.version()) : std::nullopt);
@@ -215,7 +215,7 @@
                                 const std::string& problem, std::optional<std::uint64_t> in_force)
 {
     engines->end_order(engine, in_force, steady::now());
-    if (context_.records.on()) {
+    if (context_.records.enabled()) {
         context_.records.write("wave", "ordered", steady::now(),
                                {{"engine", engine}, {"in_force", in_force.value_or(0)}});
     }
@@ -227,18 +227,19 @@
 }
 
 // What an engine reports stands above what an order answered: one that restarts comes back with old weights.
-void weight_rollout::ask_reports(const pool& engines)
+void weight_rollout::request_reports(const pool& engines)
 {
-    for (const auto& place : engines->places()) {
+    for (const auto& endpoint : engines->endpoints()) {
         wire::call_options options;
         options.timeout = report_timeout;
         wire::call<target::v1::LoadReply>(
-            *context_.targets.at(place.address), wire::method<target::v1::Engine>("Load"),
+            *context_.targets.at(endpoint.address), wire::method<target::v1::Engine>("Load"),
             target::v1::LoadRequest{}, options,
-            [engines, engine = place.engine,
-             asked = steady::now()](const result<target::v1::LoadReply>& reply) {
+            [engines, engine = endpoint.engine,
+             requested_at = steady::now()](const result<target::v1::LoadReply>& reply) {
                 if (ok(reply)) {
-                    engines->note_report(engine, {value(reply).capacity(), value(reply).version()}, asked);
+                    engines->on_report(engine, {value(reply).capacity(), value(reply).version()},
+                                       requested_at);
                 }
             });
     }
--- a/src/rollout/weight_rollout.hpp
+++ b/src/rollout/weight_rollout.hpp
@@ -38,19 +38,19 @@
     std::mutex mutex_;
     std::map<std::string, deployment_state> deployments_;
     time_point next_reports_{};
-    time_point next_tell_{};
+    time_point next_announcement_{};
 
     void advance(const std::string& deployment, const pool& engines, const node::view& view);
-    void note_convergence(const std::string& deployment, const std::vector<policy::wave_engine>& engines);
-    void tell(const std::string& deployment, const std::string& address, std::uint64_t version,
-              policy::wave_weight weight);
+    void record_convergence(const std::string& deployment, const std::vector<policy::wave_engine>& engines);
+    void forward_announcement(const std::string& deployment, const std::string& address,
+                              std::uint64_t version, policy::wave_weight weight);
     void fetch(const std::string& deployment, const pool& engines, const std::string& engine,
                std::uint64_t version);
-    void order(const std::string& deployment, const pool& engines, const std::string& engine,
-               std::uint64_t version);
+    void send_order(const std::string& deployment, const pool& engines, const std::string& engine,
+                    std::uint64_t version);
     void on_ordered(const std::string& deployment, const pool& engines, const std::string& engine,
                     const std::string& problem, std::optional<std::uint64_t> in_force);
-    void ask_reports(const pool& engines);
+    void request_reports(const pool& engines);
 };
 
 } // namespace vanillagauge::rollout
--- a/src/samples/checkpoint.cpp
+++ b/src/samples/checkpoint.cpp
@@ -34,7 +34,7 @@
 {
     pending_ = false;
     loaded_ = false;
-    not_before_ = now + retry_pause;
+    not_before_ = now + retry_delay;
 }
 
 bool checkpoint_writer::begin_read(time_point now)
--- a/src/samples/checkpoint.hpp
+++ b/src/samples/checkpoint.hpp
@@ -44,7 +44,7 @@
     bool up_to_date() const { return stored_.has_value() && *stored_ == newest_; }
 
 private:
-    static constexpr milliseconds retry_pause{1000};
+    static constexpr milliseconds retry_delay{1000};
     checkpoint newest_;
     std::optional<checkpoint> stored_;
     std::optional<checkpoint> writing_;
--- a/tests/rollout/scoring_tests.cpp
+++ b/tests/rollout/scoring_tests.cpp
@@ -12,7 +12,7 @@
 namespace vanillagauge::rollout {
 namespace {
 
-enum class behaviour { scores, refuses, crosses };
+enum class behaviour { scores, refuses, mismatches };
 
 /// A scorer on a real socket that scores, refuses, or answers for another sample.
 class scripted_scorer final : public target::v1::PlainService {
@@ -28,21 +28,21 @@
     void Score(google::protobuf::RpcController* control, const target::v1::ScoreRequest* request,
                target::v1::ScoreReply* reply, google::protobuf::Closure* done) override
     {
-        ++asked_;
+        ++requests_;
         if (mode_ == behaviour::refuses) {
             wire::from(control).fail({error_code::unavailable, run_state::not_run, "takes nothing"});
         }
-        reply->set_sample_id(mode_ == behaviour::crosses ? "another" : request->sample_id());
+        reply->set_sample_id(mode_ == behaviour::mismatches ? "another" : request->sample_id());
         reply->set_score(0.5);
         done->Run();
     }
 
     const std::string& address() const { return address_; }
-    int asked() const { return asked_; }
+    int requests() const { return requests_; }
 
 private:
     const behaviour mode_;
-    std::atomic<int> asked_{0};
+    std::atomic<int> requests_{0};
     wire::dispatcher calls_{wire::access_table{}};
     wire::http_server http_{calls_, {}};
     std::string address_;
@@ -50,7 +50,7 @@
 
 /// The parts that scoring needs, before scripted scorers. The first one is in the own domain, so it is asked
 /// first.
-struct bench {
+struct scoring_fixture {
     config::settings settings;
     std::list<scripted_scorer> scorers;
     wire::event_loop loop;
@@ -61,7 +61,7 @@
     node::channel_pool channels = node::http_channels(loop);
     node::target_directory directory{loop, {}};
 
-    explicit bench(std::initializer_list<behaviour> modes)
+    explicit scoring_fixture(std::initializer_list<behaviour> modes)
     {
         settings.failure_domain = "near";
         settings.keeper.address = "127.0.0.1:1";
@@ -79,7 +79,7 @@
         directory.update(view);
     }
 
-    ~bench() { loop.stop(); }
+    ~scoring_fixture() { loop.stop(); }
 
     result<double> score(const std::string& deployment = "judge")
     {
@@ -95,38 +95,38 @@
 
 TEST(scoring, asks_another_scorer_after_one_that_refuses)
 {
-    bench parts({behaviour::refuses, behaviour::scores});
+    scoring_fixture parts({behaviour::refuses, behaviour::scores});
     const auto score = parts.score();
     ASSERT_TRUE(ok(score)) << describe(failure(score));
     EXPECT_EQ(value(score), 0.5);
-    EXPECT_EQ(parts.scorers.front().asked(), 1);
+    EXPECT_EQ(parts.scorers.front().requests(), 1);
 }
 
 // A scorer answers late, for another sample. Taking its figure would label the sample with somebody else's
 // score, and the trainer could not tell; another scorer is asked instead.
 TEST(scoring, never_takes_the_score_of_another_sample)
 {
-    bench parts({behaviour::crosses, behaviour::scores});
+    scoring_fixture parts({behaviour::mismatches, behaviour::scores});
     const auto score = parts.score();
     ASSERT_TRUE(ok(score)) << describe(failure(score));
-    EXPECT_EQ(parts.scorers.front().asked(), 1);
-    EXPECT_EQ(parts.scorers.back().asked(), 1);
+    EXPECT_EQ(parts.scorers.front().requests(), 1);
+    EXPECT_EQ(parts.scorers.back().requests(), 1);
 }
 
 // Every scorer fails. The step must not wait for ever: after four attempts the sample goes out with the
 // reason.
 TEST(scoring, gives_up_after_a_bounded_number_of_attempts)
 {
-    bench parts({behaviour::refuses});
+    scoring_fixture parts({behaviour::refuses});
     const auto score = parts.score();
     ASSERT_FALSE(ok(score));
     EXPECT_EQ(failure(score).code, error_code::unavailable);
-    EXPECT_EQ(parts.scorers.front().asked(), 4);
+    EXPECT_EQ(parts.scorers.front().requests(), 4);
 }
 
 TEST(scoring, says_so_where_there_is_no_scorer)
 {
-    bench parts({});
+    scoring_fixture parts({});
     EXPECT_FALSE(ok(parts.score("nobody")));
 }
 
