--- a/tests/adapter/records_tests.cpp
+++ b/tests/adapter/object_decoding_tests.cpp
@@ -1,4 +1,4 @@
-#include "platform/records.hpp"
+#include "platform/object_decoding.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/gateway/deployment.hpp
+++ b/tests/gateway/deployment.hpp
@@ -54,7 +54,7 @@
     template <class Answer>
     Answer ask(std::function<Answer(gateway&)> question)
     {
-        return program_.ask<Answer>(std::move(question));
+        return program_.run_on_loop<Answer>(std::move(question));
     }
     bool ready()
     {
--- a/tests/gateway/foreign_input_tests.cpp
+++ b/tests/gateway/foreign_input_tests.cpp
@@ -12,7 +12,7 @@
 /// A gateway's relay to the store, without the rest of the gateway.
 struct lone_relay : deployment {
     wire::event_loop loop;
-    platform::users_store store{loop.context(), store_address()};
+    platform::platform_store store{loop.context(), store_address()};
     fleet_view fleet{loop, make_settings("a", store_address(), {})};
     peer_relay relay{loop.context(), store, fleet};
 
--- a/tests/stop/reload_tests.cpp
+++ b/tests/stop/reload_tests.cpp
@@ -40,7 +40,7 @@
 
     static std::uint64_t version_at(platform::gateway_program& program)
     {
-        return program.ask<std::uint64_t>([](gateway& served) { return served.current().version; });
+        return program.run_on_loop<std::uint64_t>([](gateway& served) { return served.current().version; });
     }
 };
 
--- a/tests/stop/store_move_tests.cpp
+++ b/tests/stop/store_move_tests.cpp
@@ -1,4 +1,4 @@
-#include "platform/users_store.hpp"
+#include "platform/platform_store.hpp"
 #include "standins/users/fake_store.hpp"
 #include "wire/event_loop.hpp"
 
@@ -25,7 +25,7 @@
     standins::fake_store before{loop.context()};
     standins::fake_store after{loop.context()};
     std::string address_after;
-    std::optional<users_store> moved;
+    std::optional<platform_store> moved;
 
     void SetUp() override
     {
@@ -62,7 +62,7 @@
     auto watched = start<result<gateway::object_changes>>(
         [this] { return moved->watch(kind, far_revision, watch_time); });
     std::this_thread::sleep_for(watch_time / 3); // the watch waits at the store before
-    loop.run([this] { moved->move_to(address_after); });
+    loop.run([this] { moved->set_address(address_after); });
     watched.wait();
     const auto read = start<result<gateway::stored_object>>([this] { return moved->read(kind, "x"); }).get();
     ASSERT_TRUE(ok(read)) << describe(failure(read));
