--- a/src/rollout/recorded_job.cpp
+++ b/src/rollout/recorded_job.cpp
@@ -25,11 +25,11 @@
     return all;
 }
 
-json places(const samples::delivery& found)
+json indices(const samples::delivery& found)
 {
     json all = json::array();
     for (const auto& item : found.samples) {
-        all.push_back(item.slot.place);
+        all.push_back(item.slot.index);
     }
     return all;
 }
@@ -48,7 +48,7 @@
 
 void recorded_job::record(const char* event, json fields)
 {
-    if (log_.on()) {
+    if (log_.enabled()) {
         log_.write("job", event, steady::now(), std::move(fields));
     }
 }
@@ -65,15 +65,15 @@
 }
 
 samples::delivery recorded_job::collect(const samples::cursor& position, std::uint64_t trainer_version,
-                                        std::size_t most)
+                                        std::size_t max_samples)
 {
-    auto found = state_.collect(position, trainer_version, most);
+    auto found = state_.collect(position, trainer_version, max_samples);
     if (!found.samples.empty()) {
         record("collect", {{"step", position.step},
                            {"taken", bits(position.taken)},
                            {"version", trainer_version},
-                           {"most", most},
-                           {"served", places(found)}});
+                           {"most", max_samples},
+                           {"served", indices(found)}});
     }
     return found;
 }
@@ -81,13 +81,13 @@
 samples::attempt recorded_job::begin(const samples::slot_key& slot, const std::string& engine, time_point now)
 {
     auto stream = state_.begin(slot, engine, now);
-    log_.on() ? log_.write("job", "begin", now,
-                           {{"step", slot.step},
-                            {"place", slot.place},
-                            {"engine", engine},
-                            {"id", stream.id},
-                            {"resumed", stream.resumed_tokens}})
-              : void();
+    log_.enabled() ? log_.write("job", "begin", now,
+                                {{"step", slot.step},
+                                 {"place", slot.index},
+                                 {"engine", engine},
+                                 {"id", stream.id},
+                                 {"resumed", stream.resumed_tokens}})
+                   : void();
     return stream;
 }
 
@@ -95,9 +95,9 @@
                                                    time_point now)
 {
     auto stream = state_.race(slot, engine, now);
-    if (stream && log_.on()) {
+    if (stream && log_.enabled()) {
         log_.write("job", "race", now,
-                   {{"step", slot.step}, {"place", slot.place}, {"engine", engine}, {"id", stream->id}});
+                   {{"step", slot.step}, {"place", slot.index}, {"engine", engine}, {"id", stream->id}});
     }
     return stream;
 }
@@ -111,42 +111,42 @@
 bool recorded_job::on_chunk(samples::attempt_id id, const std::string& text, std::uint64_t version,
                             int tokens, time_point now)
 {
-    if (log_.on()) {
+    if (log_.enabled()) {
         log_.write("job", "chunk", now, {{"id", id}, {"version", version}, {"tokens", tokens}});
     }
     return state_.on_chunk(id, text, version, tokens, now);
 }
 
-std::optional<samples::product> recorded_job::on_generated(samples::attempt_id id,
-                                                           std::vector<samples::attempt>& losers)
+std::optional<samples::sample_content> recorded_job::on_generated(samples::attempt_id id,
+                                                                  std::vector<samples::attempt>& losers)
 {
     auto made = state_.on_generated(id, losers);
     record("generated", {{"id", id}, {"in_time", made.has_value()}, {"losers", ids(losers)}});
     return made;
 }
 
-void recorded_job::on_ready(samples::attempt_id id, samples::product sample)
+void recorded_job::on_ready(samples::attempt_id id, samples::sample_content sample)
 {
     record("ready", {{"id", id}});
     state_.on_ready(id, std::move(sample));
 }
 
-void recorded_job::on_broken(samples::attempt_id id, bool keep)
+void recorded_job::on_failed(samples::attempt_id id, bool keep)
 {
     record("broken", {{"id", id}, {"keep", keep}});
-    state_.on_broken(id, keep);
+    state_.on_failed(id, keep);
 }
 
-std::vector<policy::straggler_decision> recorded_job::stragglers(std::size_t free_places, time_point now)
+std::vector<policy::straggler_decision> recorded_job::stragglers(std::size_t free_capacity, time_point now)
 {
-    auto chosen = policy::find_stragglers(step_view_of(state_, free_places, now));
-    if (!chosen.empty() && log_.on()) {
+    auto chosen = policy::find_stragglers(step_view_of(state_, free_capacity, now));
+    if (!chosen.empty() && log_.enabled()) {
         json all = json::array();
         for (const auto& decision : chosen) {
             all.push_back(
                 {{"id", decision.attempt}, {"race", decision.action == policy::straggler_action::race}});
         }
-        log_.write("job", "stragglers", now, {{"free_places", free_places}, {"chosen", all}});
+        log_.write("job", "stragglers", now, {{"free_places", free_capacity}, {"chosen", all}});
     }
     return chosen;
 }
