--- a/src/gateway/service_gate.cpp
+++ b/src/gateway/admission_queue.cpp
@@ -1,4 +1,4 @@
-#include "gateway/service_gate.hpp"
+#include "gateway/admission_queue.hpp"
 
 #include <algorithm>
 
--- a/src/gateway/service_gate.hpp
+++ b/src/gateway/admission_queue.hpp
@@ -1,7 +1,7 @@
 /// Admission to the replicas of one service: tasks wait here until a replica has room or they are turned
 /// away.
-#ifndef VANILLAGAUGE_GATEWAY_SERVICE_GATE_HPP
-#define VANILLAGAUGE_GATEWAY_SERVICE_GATE_HPP
+#ifndef VANILLAGAUGE_GATEWAY_ADMISSION_QUEUE_HPP
+#define VANILLAGAUGE_GATEWAY_ADMISSION_QUEUE_HPP
 
 #include "gateway/target_registry.hpp"
 #include "net/signal.hpp"
--- a/src/gateway/batch.cpp
+++ b/src/gateway/batch.cpp
@@ -1,6 +1,6 @@
 #include "gateway/batch.hpp"
 
-#include "gateway/foreign_json.hpp"
+#include "gateway/untrusted_json.hpp"
 
 #include <boost/beast/core/detail/base64.hpp>
 
--- a/src/gateway/batch_service_ahead.cpp
+++ b/src/gateway/batch_service_ahead.cpp
@@ -1,6 +1,6 @@
 // Batches that run before the store has them.
-#include "gateway/foreign_json.hpp"
 #include "gateway/internal/batch_attempt.hpp"
+#include "gateway/untrusted_json.hpp"
 #include "observe/log.hpp"
 
 #include <algorithm>
--- a/src/gateway/batch_texts.cpp
+++ b/src/gateway/batch_texts.cpp
@@ -1,6 +1,6 @@
 #include "gateway/batch_texts.hpp"
 
-#include "gateway/foreign_json.hpp"
+#include "gateway/untrusted_json.hpp"
 
 #include <algorithm>
 
--- a/src/gateway/feed.cpp
+++ b/src/gateway/feed.cpp
@@ -1,6 +1,6 @@
 #include "gateway/feed.hpp"
 
-#include "gateway/foreign_json.hpp"
+#include "gateway/untrusted_json.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/gateway/feed_hub.cpp
+++ b/src/gateway/feed_sync.cpp
@@ -1,6 +1,6 @@
-#include "gateway/feed_hub.hpp"
+#include "gateway/feed_sync.hpp"
 
-#include "gateway/internal/news_messages.hpp"
+#include "gateway/internal/sync_messages.hpp"
 #include "observe/log.hpp"
 
 #include <algorithm>
--- a/src/gateway/feed_hub.hpp
+++ b/src/gateway/feed_sync.hpp
@@ -1,11 +1,11 @@
 /// Keeps all feeds of a gateway up to date: a few gateways watch the store, the others ask those in turn. On
 /// the same way they tell each other of requests that crash replicas.
-#ifndef VANILLAGAUGE_GATEWAY_FEED_HUB_HPP
-#define VANILLAGAUGE_GATEWAY_FEED_HUB_HPP
+#ifndef VANILLAGAUGE_GATEWAY_FEED_SYNC_HPP
+#define VANILLAGAUGE_GATEWAY_FEED_SYNC_HPP
 
 #include "gateway/feed.hpp"
 #include "gateway/fleet_view.hpp"
-#include "gateway/internal/news_messages.hpp"
+#include "gateway/internal/sync_messages.hpp"
 #include "gateway/peer_relay.hpp"
 
 #include <memory>
--- a/src/gateway/forwarder.hpp
+++ b/src/gateway/forwarder.hpp
@@ -2,8 +2,8 @@
 #ifndef VANILLAGAUGE_GATEWAY_FORWARDER_HPP
 #define VANILLAGAUGE_GATEWAY_FORWARDER_HPP
 
+#include "gateway/admission_queue.hpp"
 #include "gateway/configuration.hpp"
-#include "gateway/service_gate.hpp"
 #include "gateway/target_protocol.hpp"
 #include "gateway/target_registry.hpp"
 #include "net/http_service.hpp"
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,6 +1,6 @@
 #include "gateway/gateway.hpp"
 
-#include "gateway/foreign_json.hpp"
+#include "gateway/untrusted_json.hpp"
 #include "net/http_service.hpp"
 #include "node/program.hpp"
 #include "observe/log.hpp"
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -5,7 +5,7 @@
 #include "gateway/batch_runner.hpp"
 #include "gateway/batch_service.hpp"
 #include "gateway/configuration.hpp"
-#include "gateway/feed_hub.hpp"
+#include "gateway/feed_sync.hpp"
 #include "gateway/fleet_view.hpp"
 #include "gateway/forwarder.hpp"
 #include "gateway/object_store.hpp"
--- a/src/gateway/internal/news_messages.cpp
+++ b/src/gateway/internal/sync_messages.cpp
@@ -1,6 +1,6 @@
-#include "gateway/internal/news_messages.hpp"
+#include "gateway/internal/sync_messages.hpp"
 
-#include "gateway/foreign_json.hpp"
+#include "gateway/untrusted_json.hpp"
 
 #include <algorithm>
 
--- a/src/gateway/internal/news_messages.hpp
+++ b/src/gateway/internal/sync_messages.hpp
@@ -1,6 +1,6 @@
 /// What gateways ask and tell each other about feeds and crashes, and its JSON.
-#ifndef VANILLAGAUGE_GATEWAY_INTERNAL_NEWS_MESSAGES_HPP
-#define VANILLAGAUGE_GATEWAY_INTERNAL_NEWS_MESSAGES_HPP
+#ifndef VANILLAGAUGE_GATEWAY_INTERNAL_SYNC_MESSAGES_HPP
+#define VANILLAGAUGE_GATEWAY_INTERNAL_SYNC_MESSAGES_HPP
 
 #include "gateway/feed.hpp"
 #include "policy/quarantine.hpp"
--- a/src/gateway/foreign_json.hpp
+++ b/src/gateway/untrusted_json.hpp
@@ -1,6 +1,6 @@
 /// Reading JSON that another program wrote, which may be of any shape.
-#ifndef VANILLAGAUGE_GATEWAY_FOREIGN_JSON_HPP
-#define VANILLAGAUGE_GATEWAY_FOREIGN_JSON_HPP
+#ifndef VANILLAGAUGE_GATEWAY_UNTRUSTED_JSON_HPP
+#define VANILLAGAUGE_GATEWAY_UNTRUSTED_JSON_HPP
 
 #include "base/base.hpp"
 
--- a/src/gateway/weights_keeper.cpp
+++ b/src/gateway/weights_keeper.cpp
@@ -1,6 +1,6 @@
 #include "gateway/weights_keeper.hpp"
 
-#include "gateway/foreign_json.hpp"
+#include "gateway/untrusted_json.hpp"
 #include "observe/log.hpp"
 #include "policy/load_plan.hpp"
 
--- a/tests/gateway/foreign_input_tests.cpp
+++ b/tests/gateway/untrusted_input_tests.cpp
@@ -1,6 +1,6 @@
 #include "deployment.hpp"
 
-#include "gateway/feed_hub.hpp"
+#include "gateway/feed_sync.hpp"
 
 #include <gtest/gtest.h>
 
