--- a/src/gateway/admission_queue.hpp
+++ b/src/gateway/admission_queue.hpp
@@ -14,10 +14,10 @@
 
 namespace vanillagauge::gateway {
 
-class service_gate {
+class admission_queue {
 public:
-    service_gate(net::loop& loop, std::uint64_t seed, policy::pool_options options,
-                 policy::queue_patience patience);
+    admission_queue(net::loop& loop, std::uint64_t seed, policy::pool_options options,
+                    policy::queue_patience patience);
 
     /// Takes the service's present replicas.
     void update(const std::vector<target_ref>& targets, time_point now);
@@ -26,21 +26,21 @@
     /// Another replica for a request that was sent before; none where none has room or the budget is spent.
     std::optional<std::string> retry(const policy::work& item);
     /// Gives the place at a replica back.
-    void finish(const std::string& lifetime, const policy::ending_report& report);
-    void on_load(const std::string& lifetime, const policy::load_report& load);
+    void finish(const std::string& instance_id, const policy::ending_report& report);
+    void on_load(const std::string& instance_id, const policy::load_report& load);
     /// The client of a waiting request has gone.
-    void withdraw(std::uint64_t work_id);
+    void cancel(std::uint64_t work_id);
 
     /// How long to wait for an answer before another replica is asked.
     duration hedge_delay() const { return scheduler_.pool().hedge_delay(); }
 
 private:
-    struct waiting {
+    struct waiter {
         std::optional<result<std::string>> outcome;
     };
     policy::scheduler scheduler_;
     net::signal changed_;
-    std::map<std::uint64_t, waiting> waiting_;
+    std::map<std::uint64_t, waiter> waiters_;
 
     void advance();
 };
--- a/src/gateway/batch.cpp
+++ b/src/gateway/batch.cpp
@@ -112,7 +112,7 @@
 
 result<batch_header> header_from_json(const std::string& id, const json& value, const json& status)
 {
-    return decoded<batch_header>(
+    return decode<batch_header>(
         value, unreadable("the batch " + id), [&](const json& from) -> result<batch_header> {
             batch_header header;
             header.id = id;
@@ -155,7 +155,7 @@
 
 result<log_segment> segment_from_json(const std::string& name, const json& value)
 {
-    return decoded<log_segment>(
+    return decode<log_segment>(
         value, unreadable("the segment " + name), [&](const json& from) -> result<log_segment> {
             log_segment segment;
             const auto parsed = std::from_chars(name.data(), name.data() + name.size(), segment.first);
@@ -203,14 +203,14 @@
 
 result<std::vector<batch_item>> items_from_json(const json& part)
 {
-    return decoded<std::vector<batch_item>>(part, unreadable("a batch's items"),
-                                            [&](const json& from) -> result<std::vector<batch_item>> {
-                                                std::vector<batch_item> items;
-                                                for (const auto& entry : from.at("items")) {
-                                                    items.push_back(item_from_json(entry));
-                                                }
-                                                return items;
-                                            });
+    return decode<std::vector<batch_item>>(part, unreadable("a batch's items"),
+                                           [&](const json& from) -> result<std::vector<batch_item>> {
+                                               std::vector<batch_item> items;
+                                               for (const auto& entry : from.at("items")) {
+                                                   items.push_back(item_from_json(entry));
+                                               }
+                                               return items;
+                                           });
 }
 
 result<std::string> decode_base64(std::string_view text)
--- a/src/gateway/batch_runner.cpp
+++ b/src/gateway/batch_runner.cpp
@@ -52,13 +52,13 @@
 // every view that agrees on the members. Two that run it waste work and cannot list an item twice.
 bool batch_runner::is_mine(const batch_header& header) const
 {
-    if (fleet_.lives(header.owner_vm, header.owner_incarnation)) {
+    if (fleet_.is_alive(header.owner_vm, header.owner_incarnation)) {
         return header.owner_vm == fleet_.self();
     }
     if (!view_whole_ && steady::now() - started_ < view_settles) {
         return false;
     }
-    const auto ranked = fleet_.owners_of(header.id);
+    const auto ranked = fleet_.ranked_owners(header.id);
     return !ranked.empty() && ranked.front() == fleet_.self();
 }
 
--- a/src/gateway/batch_runner_items.cpp
+++ b/src/gateway/batch_runner_items.cpp
@@ -49,7 +49,7 @@
     batch->streams[place] = open;
     observe::span hop(observe::trace_of(batch->progress.header().id), "item_run");
     hop.note("request_id", batch->progress.items()[place].item.id);
-    hop.note("replica", at->info.lifetime());
+    hop.note("replica", at->info.instance_id());
     auto taken = co_await at->pool.take(steady::now() + connect_time);
     if (auto* connection = std::get_if<std::shared_ptr<net::http_connection>>(&taken)) {
         open->connection = *connection;
@@ -59,7 +59,7 @@
     }
     else {
         at->back_off_until = steady::now() + broken_back_off;
-        batch->progress.release(place, {}, at->info.lifetime());
+        batch->progress.release(place, {}, at->info.instance_id());
     }
     --at->streams;
     batch->streams.erase(place);
@@ -72,13 +72,13 @@
     const auto& item = batch.progress.items()[place].item;
     if (not_run) {
         at->back_off_until = now + full_back_off;
-        batch.progress.release(place, {}, at->info.lifetime());
+        batch.progress.release(place, {}, at->info.instance_id());
         return;
     }
     observe::log(observe::log_level::warning, "item_failed",
                  {{"request", item.id},
                   {"batch", batch.progress.header().id},
-                  {"replica", at->info.lifetime()},
+                  {"replica", at->info.instance_id()},
                   {"status", std::int64_t{status}}});
     constexpr int never = 422;
     constexpr int attempt_failed = 500;
@@ -86,7 +86,7 @@
         batch.progress.terminate(place);
         return;
     }
-    batch.progress.release(place, now + full_back_off, at->info.lifetime());
+    batch.progress.release(place, now + full_back_off, at->info.instance_id());
 }
 
 void batch_runner::log_completed(const batch_progress& progress, std::size_t place, const stream& open) const
@@ -98,7 +98,7 @@
     observe::log(observe::log_level::info, "item_completed",
                  {{"request", entry.item.id},
                   {"batch", progress.header().id},
-                  {"replica", open.at->info.lifetime()},
+                  {"replica", open.at->info.instance_id()},
                   {"runs", std::int64_t{entry.runs}},
                   {"events", static_cast<std::int64_t>(entry.events)},
                   {"run_ms", std::int64_t{run_ms.count()}},
@@ -116,7 +116,7 @@
     int internal_errors = 0;
     int calls = 0;
     while (!batch->ended && entry.state == work_state::scoring) {
-        const auto ticket = std::make_shared<call_ticket>();
+        const auto ticket = std::make_shared<cancellation_token>();
         batch->scoring_calls[place] = ticket;
         const bool last = progress.open_in_group(place) <= 1;
         const auto urgency = last ? policy::priority::gate : policy::priority::member;
@@ -157,13 +157,13 @@
                                           std::shared_ptr<stream> open)
 {
     auto& progress = batch->progress;
-    const auto lifetime = at->info.lifetime();
+    const auto instance_id = at->info.instance_id();
     const auto& item = progress.items()[place].item;
     attempt_request sent;
     sent.attempt_id = item.id;
     sent.replica_id = at->info.id;
     sent.resume_after = progress.items()[place].last_event;
-    const auto request = protocol_.to_replica(item_request(progress.header(), item), sent);
+    const auto request = protocol_.replica_request(item_request(progress.header(), item), sent);
     auto& connection = *open->connection;
     const auto written = co_await connection.send(request, steady::now() + connect_time);
     net::http_result<net::response_head> read = net::http_failure{};
@@ -175,12 +175,12 @@
         if (!connection.reused()) {
             at->back_off_until = steady::now() + broken_back_off;
         }
-        progress.release(place, {}, lifetime);
+        progress.release(place, {}, instance_id);
         co_return;
     }
-    const auto marks = protocol_.marks(head->status, head->fields, sent.attempt_id);
+    const auto marks = protocol_.parse_metadata(head->status, head->fields, sent.attempt_id);
     if (marks.weights_version > 0) {
-        at->saw_version(progress.header().model, marks.weights_version);
+        at->record_version(progress.header().model, marks.weights_version);
     }
     const auto idle = head->keep_alive ? net::idle_time_of(head->fields, seconds(4)) : duration{0};
     if (head->status != 200 || marks.not_run) {
@@ -199,7 +199,7 @@
             progress.restart(place);
         }
         connection.close();
-        progress.release(place, steady::now() + full_back_off, lifetime);
+        progress.release(place, steady::now() + full_back_off, instance_id);
         co_return;
     }
     const bool whole = co_await read_events(batch, place, open);
@@ -208,7 +208,7 @@
         co_return;
     }
     connection.close();
-    progress.release(place, {}, lifetime);
+    progress.release(place, {}, instance_id);
 }
 
 // True where the text is whole.
@@ -217,7 +217,7 @@
     auto& progress = batch->progress;
     auto& connection = *open->connection;
     const auto at = open->at;
-    const auto lifetime = at->info.lifetime();
+    const auto instance_id = at->info.instance_id();
     net::event_reader reader;
     while (!batch->ended && progress.items()[place].state == work_state::running) {
         const auto patience = open->heard ? silence : first_silence;
@@ -230,18 +230,18 @@
             const auto broken = progress.take_event(place, event, protocol_.weights_version(event));
             if (broken != run_break::none) {
                 progress.restart(place);
-                progress.release(place, steady::now() + full_back_off, lifetime);
+                progress.release(place, steady::now() + full_back_off, instance_id);
                 co_return false;
             }
             const auto now = steady::now();
             if (open->heard) {
-                at->saw_gap(now - open->last_event);
+                at->record_event_gap(now - open->last_event);
             }
             open->heard = true;
             open->last_event = now;
         }
         if (bytes->last && !reader.mid_event()) {
-            at->saw_version(progress.header().model, progress.items()[place].current_version);
+            at->record_version(progress.header().model, progress.items()[place].current_version);
             log_completed(progress, place, *open);
             progress.complete(place);
             if (progress.items()[place].state == work_state::scoring) {
--- a/src/gateway/batch_runner_placement.cpp
+++ b/src/gateway/batch_runner_placement.cpp
@@ -17,7 +17,7 @@
     std::vector<double> gaps;
     gaps.reserve(engines.size());
     for (const auto& engine : engines) {
-        gaps.push_back(engine->piece_gap_ms);
+        gaps.push_back(engine->mean_gap_ms);
     }
     return policy::slow_gap(std::move(gaps));
 }
@@ -71,7 +71,7 @@
     std::vector<policy::engine_view> views;
     for (const auto& engine : engines) {
         policy::engine_view view;
-        view.id = engine->info.lifetime();
+        view.id = engine->info.instance_id();
         view.in_flight = engine->streams;
         view.limit = engine->info.slots;
         view.version = engine->version_of(progress.header().model);
@@ -82,7 +82,7 @@
     auto fast = views;
     const auto slow = slow_gap_of(engines);
     for (std::size_t place = 0; place < engines.size(); ++place) {
-        fast[place].usable = fast[place].usable && (slow <= 0 || engines[place]->piece_gap_ms < slow);
+        fast[place].usable = fast[place].usable && (slow <= 0 || engines[place]->mean_gap_ms < slow);
     }
     for (const auto place : progress.order()) {
         auto& entry = progress.items()[place];
@@ -129,14 +129,14 @@
     const auto now = steady::now();
     for (const auto& entry : batch.streams) {
         const auto& open = entry.second;
-        const bool slow = open->at->piece_gap_ms >= slow_from;
+        const bool slow = open->at->mean_gap_ms >= slow_from;
         if (!slow || !open->connection || now - open->began < least_run) {
             continue;
         }
         const bool better = std::any_of(engines.begin(), engines.end(), [&](const target_ref& engine) {
             return engine != open->at && engine->streams < engine->info.slots &&
-                   now >= engine->back_off_until && engine->piece_gap_ms > 0 &&
-                   engine->piece_gap_ms < slow_from &&
+                   now >= engine->back_off_until && engine->mean_gap_ms > 0 &&
+                   engine->mean_gap_ms < slow_from &&
                    engine->version_of(batch.progress.header().model) >= batch.progress.header().least_version;
         });
         if (better) {
--- a/src/gateway/batch_service.cpp
+++ b/src/gateway/batch_service.cpp
@@ -130,7 +130,7 @@
     }
     auto created = co_await create_surely(batch_kind, header.id, to_json(header), until);
     if (ok(created)) {
-        headers_.take_own(std::move(value(created)));
+        headers_.apply_own_write(std::move(value(created)));
         co_return done{};
     }
     if (failure(created).code == error_code::conflict) {
@@ -330,7 +330,7 @@
     if (!ok(ended)) {
         co_return failure(ended);
     }
-    headers_.take_own(std::move(value(ended)));
+    headers_.apply_own_write(std::move(value(ended)));
     co_return done{};
 }
 
--- a/src/gateway/batch_service_ahead.cpp
+++ b/src/gateway/batch_service_ahead.cpp
@@ -25,7 +25,7 @@
 result<batch_submission> submission_from_json(const json& from)
 {
     const error unreadable{error_code::invalid_argument, run_state::not_run, "a batch to run ahead"};
-    return decoded<batch_submission>(from, unreadable, [](const json& text) -> result<batch_submission> {
+    return decode<batch_submission>(from, unreadable, [](const json& text) -> result<batch_submission> {
         auto header = header_from_json(text.at("id").get<std::string>(), text.at("header"), json());
         if (!ok(header)) {
             return failure(header);
@@ -60,7 +60,7 @@
 // None where it is this gateway.
 std::optional<gateway_peer> batch_service::other_owner(const std::string& batch) const
 {
-    const auto ranked = fleet_.owners_of(batch);
+    const auto ranked = fleet_.ranked_owners(batch);
     for (const auto& peer : fleet_.peers()) {
         if (!ranked.empty() && peer.vm == ranked.front() && peer.vm != fleet_.self()) {
             return peer;
@@ -81,8 +81,8 @@
         co_return false;
     }
     json question{{"id", batch}};
-    const auto told = co_await store_.ask(owner->relay_address, ahead_path, std::move(question),
-                                          steady::now() + runs_call_time);
+    const auto told = co_await store_.call_peer(owner->relay_address, ahead_path, std::move(question),
+                                                steady::now() + runs_call_time);
     co_return !ok(told) || member_or_null(value(told), "runs") != json(false);
 }
 
@@ -99,8 +99,8 @@
     json question{{"id", header.id},
                   {"header", to_json(header)},
                   {"parts", to_parts(current->submission.items, most_part_bytes)}};
-    const auto told = co_await store_.ask(owner->relay_address, ahead_path, std::move(question),
-                                          steady::now() + ahead_call_time);
+    const auto told = co_await store_.call_peer(owner->relay_address, ahead_path, std::move(question),
+                                                steady::now() + ahead_call_time);
     if (ok(told) && !current->naming) {
         header.owner_vm = owner->vm;
         header.owner_incarnation = owner->incarnation;
@@ -115,7 +115,7 @@
 {
     net::http_response response;
     const auto question = json::parse(request.body, nullptr, false);
-    const auto batch = text_or_empty(question, "id");
+    const auto batch = string_or_empty(question, "id");
     if (member_or_null(question, "header").is_null() && !batch.empty()) {
         response.body = json{{"runs", ahead_until_.contains(batch)}}.dump();
         return response;
@@ -162,7 +162,7 @@
     current->submission = std::move(submission);
     while (!headers_.objects().contains(id) && steady::now() < std::min(last, ahead_until_[id])) {
         // A short question finds the store's return sooner than a write that hangs.
-        const auto back = co_await store_.check(batch_kind, check_time);
+        const auto back = co_await store_.ping(batch_kind, check_time);
         if (!ok(back)) {
             co_await net::sleep_for(loop_, settle_pause);
             continue;
--- a/src/gateway/batch_texts.cpp
+++ b/src/gateway/batch_texts.cpp
@@ -77,14 +77,14 @@
 result<std::vector<item_text>> texts_from_json(const json& value)
 {
     const error unreadable{error_code::invalid_argument, run_state::not_run, "the kept texts of a batch"};
-    return decoded<std::vector<item_text>>(value, unreadable,
-                                           [](const json& from) -> result<std::vector<item_text>> {
-                                               std::vector<item_text> texts;
-                                               for (const auto& entry : from.at("texts")) {
-                                                   texts.push_back(text_from_json(entry));
-                                               }
-                                               return texts;
-                                           });
+    return decode<std::vector<item_text>>(value, unreadable,
+                                          [](const json& from) -> result<std::vector<item_text>> {
+                                              std::vector<item_text> texts;
+                                              for (const auto& entry : from.at("texts")) {
+                                                  texts.push_back(text_from_json(entry));
+                                              }
+                                              return texts;
+                                          });
 }
 
 net::task_of<done> text_keeper::keep(std::vector<item_text> texts)
--- a/src/gateway/feed.cpp
+++ b/src/gateway/feed.cpp
@@ -12,25 +12,25 @@
 namespace {
 
 /// Some minutes of a busy day; an asker from before them gets all names.
-constexpr std::size_t most_removals = 1024;
+constexpr std::size_t max_removals = 1024;
 
 } // namespace
 
 // An answer that was long under way must not bring an older state back.
 void feed::apply(object_change change)
 {
-    const auto known = objects_.find(change.object.name);
-    if (known != objects_.end() && change.object.revision < known->second.revision) {
+    const auto found = objects_.find(change.object.name);
+    if (found != objects_.end() && change.object.revision < found->second.revision) {
         return;
     }
     if (change.removed) {
-        if (known == objects_.end()) {
+        if (found == objects_.end()) {
             return;
         }
-        objects_.erase(known);
+        objects_.erase(found);
     }
     else {
-        if (known != objects_.end() && change.object.revision == known->second.revision) {
+        if (found != objects_.end() && change.object.revision == found->second.revision) {
             return;
         }
         objects_[change.object.name] = change.object;
@@ -39,49 +39,50 @@
     on_change_(change);
 }
 
-void feed::advance(std::uint64_t as_of, time_point asked)
+void feed::advance(std::uint64_t as_of, time_point requested_at)
 {
     as_of_ = std::max(as_of_, as_of);
-    confirmed_ = std::max(confirmed_, asked);
-    known_ = true;
+    confirmed_at_ = std::max(confirmed_at_, requested_at);
+    synced_ = true;
 }
 
 void feed::remove_absent(const std::function<bool(const std::string&)>& present, std::uint64_t as_of)
 {
-    std::vector<stored_object> gone;
+    std::vector<stored_object> removed;
     for (const auto& [name, object] : objects_) {
         if (!present(name) && object.revision <= as_of) {
-            gone.push_back(object);
+            removed.push_back(object);
         }
     }
-    for (auto& object : gone) {
-        note_removal(object, as_of);
+    for (auto& object : removed) {
+        record_removal(object, as_of);
         apply({std::move(object), true});
         changed_as_of_ = std::max(changed_as_of_, as_of);
     }
 }
 
 // Also of an object that was never known here: a gateway that asks may know it from another one.
-void feed::note_removal(const stored_object& object, std::uint64_t as_of)
+void feed::record_removal(const stored_object& object, std::uint64_t as_of)
 {
-    stored_object gone;
-    gone.name = object.name;
-    gone.revision = object.revision;
-    removals_.push_back({std::move(gone), as_of});
-    if (removals_.size() > most_removals) {
+    stored_object removed;
+    removed.name = object.name;
+    removed.revision = object.revision;
+    removals_.push_back({std::move(removed), as_of});
+    if (removals_.size() > max_removals) {
         removals_since_ = std::max(removals_since_, removals_.front().as_of);
         removals_.pop_front();
     }
 }
 
 // What came and went before a list of all names was made shows in none of the names.
-void feed::forget_removals(std::uint64_t as_of)
+void feed::discard_removals(std::uint64_t as_of)
 {
     removals_.clear();
     removals_since_ = std::max(removals_since_, as_of);
 }
 
-void feed::take_listing(std::map<std::string, stored_object> listed, std::uint64_t as_of, time_point asked)
+void feed::apply_listing(std::map<std::string, stored_object> listed, std::uint64_t as_of,
+                         time_point requested_at)
 {
     if (as_of >= as_of_) {
         remove_absent([&listed](const std::string& name) { return listed.contains(name); }, as_of);
@@ -89,118 +90,119 @@
     for (auto& [name, object] : listed) {
         apply({std::move(object), false});
     }
-    forget_removals(std::max(as_of, as_of_));
-    advance(as_of, asked);
+    discard_removals(std::max(as_of, as_of_));
+    advance(as_of, requested_at);
 }
 
-void feed::take_changes(object_changes changes, time_point asked)
+void feed::apply_changes(object_changes changes, time_point requested_at)
 {
     for (auto& change : changes.events) {
         if (change.removed) {
-            note_removal(change.object, changes.as_of);
+            record_removal(change.object, changes.as_of);
             changed_as_of_ = std::max(changed_as_of_, changes.as_of);
         }
         apply(std::move(change));
     }
-    advance(changes.as_of, asked);
+    advance(changes.as_of, requested_at);
 }
 
 // Names of everything in each answer would make the fleet's traffic grow with VMs times replicas.
-feed_news feed::news(std::uint64_t since) const
+feed_update feed::update_since(std::uint64_t since) const
 {
-    feed_news told;
-    told.as_of = as_of_;
-    if (!has_news(since)) {
-        return told;
+    feed_update update;
+    update.as_of = as_of_;
+    if (!changed_since(since)) {
+        return update;
     }
-    const bool whole = since < removals_since_;
-    if (whole) {
-        told.names.emplace();
+    const bool complete = since < removals_since_;
+    if (complete) {
+        update.names.emplace();
     }
     for (const auto& [name, object] : objects_) {
-        if (whole) {
-            told.names->insert(name);
+        if (complete) {
+            update.names->insert(name);
         }
         if (object.revision > since) {
-            told.changed.push_back(object);
+            update.changed.push_back(object);
         }
     }
-    for (const auto& gone : removals_) {
-        if (!whole && gone.as_of > since) {
-            told.removed.push_back(gone.object);
+    for (const auto& removed : removals_) {
+        if (!complete && removed.as_of > since) {
+            update.removed.push_back(removed.object);
         }
     }
-    return told;
+    return update;
 }
 
-void feed::take_news(feed_news news, time_point asked)
+void feed::apply_update(feed_update update, time_point requested_at)
 {
-    if (news.as_of < as_of_) {
+    if (update.as_of < as_of_) {
         // Its watch waits since an earlier revision than this copy was listed at: nothing has changed since.
         // Taken for no word at all, it would make this gateway list everything again each second.
-        confirmed_ = std::max(confirmed_, asked);
+        confirmed_at_ = std::max(confirmed_at_, requested_at);
         return;
     }
-    for (auto& gone : news.removed) {
-        note_removal(gone, news.as_of);
-        changed_as_of_ = std::max(changed_as_of_, news.as_of);
-        apply({std::move(gone), true});
+    for (auto& removed : update.removed) {
+        record_removal(removed, update.as_of);
+        changed_as_of_ = std::max(changed_as_of_, update.as_of);
+        apply({std::move(removed), true});
     }
-    for (auto& object : news.changed) {
+    for (auto& object : update.changed) {
         apply({std::move(object), false});
     }
-    if (news.names) {
-        remove_absent([&news](const std::string& name) { return news.names->contains(name); }, news.as_of);
-        forget_removals(news.as_of);
+    if (update.names) {
+        remove_absent([&update](const std::string& name) { return update.names->contains(name); },
+                      update.as_of);
+        discard_removals(update.as_of);
     }
-    advance(news.as_of, asked);
+    advance(update.as_of, requested_at);
 }
 
-void feed::forget()
+void feed::reset()
 {
-    const auto held = std::exchange(objects_, {});
+    const auto previous = std::exchange(objects_, {});
     removals_.clear();
     as_of_ = 0;
     changed_as_of_ = 0;
     removals_since_ = 0;
-    known_ = false;
-    for (const auto& [name, object] : held) {
+    synced_ = false;
+    for (const auto& [name, object] : previous) {
         on_change_({object, true});
     }
 }
 
-json to_json(const feed_news& news)
+json to_json(const feed_update& update)
 {
-    json text;
-    text["as_of"] = news.as_of;
-    for (const auto& object : news.changed) {
-        text["changed"].push_back(to_json(object));
+    json document;
+    document["as_of"] = update.as_of;
+    for (const auto& object : update.changed) {
+        document["changed"].push_back(to_json(object));
     }
-    for (const auto& object : news.removed) {
-        text["removed"].push_back(to_json(object));
+    for (const auto& object : update.removed) {
+        document["removed"].push_back(to_json(object));
     }
-    if (news.names) {
-        text["names"] = *news.names;
+    if (update.names) {
+        document["names"] = *update.names;
     }
-    return text;
+    return document;
 }
 
-result<feed_news> feed_news_from_json(const json& text)
+result<feed_update> feed_update_from_json(const json& document)
 {
     error malformed{error_code::unavailable, run_state::in_doubt, "expected a gateway's news of a feed"};
-    return decoded<feed_news>(text, std::move(malformed), [](const json& from) {
-        feed_news news;
-        news.as_of = from.at("as_of").get<std::uint64_t>();
+    return decode<feed_update>(document, std::move(malformed), [](const json& from) {
+        feed_update update;
+        update.as_of = from.at("as_of").get<std::uint64_t>();
         for (const auto& object : member_or_null(from, "changed")) {
-            news.changed.push_back(object_from_json(object));
+            update.changed.push_back(object_from_json(object));
         }
         for (const auto& object : member_or_null(from, "removed")) {
-            news.removed.push_back(object_from_json(object));
+            update.removed.push_back(object_from_json(object));
         }
         if (const auto names = from.find("names"); names != from.end()) {
-            news.names = names->get<std::set<std::string>>();
+            update.names = names->get<std::set<std::string>>();
         }
-        return news;
+        return update;
     });
 }
 
--- a/src/gateway/feed_sync.cpp
+++ b/src/gateway/feed_sync.cpp
@@ -16,38 +16,38 @@
 /// one while a domain is down and another VM restarts. In a large fleet one more for each two dozen of
 /// gateways, so that none answers more than some forty questions a second; the busiest of 66 fronts takes
 /// 0.023 cores in all.
-constexpr std::size_t least_watchers = 3;
-constexpr std::size_t gateways_a_watcher = 24;
+constexpr std::size_t min_watchers = 3;
+constexpr std::size_t gateways_per_watcher = 24;
 
 /// A watch counts as one call however long it waits.
-constexpr milliseconds store_wait{20000};
+constexpr milliseconds watch_timeout{20000};
 
 /// A watch that waits looks the same whether nothing changes or the store no longer answers this VM, and
 /// the others would be told "nothing new" until keep-alive probes end the connection, some three seconds
 /// later, or never where the store itself is silent. Changes must be in force everywhere within two
 /// seconds, so a watcher that heard nothing asks for a sign of life, which may be old and costs the
 /// store little.
-constexpr milliseconds check_every{600};
-constexpr milliseconds check_time{500};
+constexpr milliseconds ping_interval{600};
+constexpr milliseconds ping_timeout{500};
 
 /// Changes must be in force everywhere within two seconds. A watcher may have gone silent, or be cut off from
 /// the store without knowing it yet; asking them in turn, each for no longer than this, finds another one in
 /// time.
-constexpr milliseconds peer_wait{600};
-constexpr milliseconds peer_margin{400};
+constexpr milliseconds poll_timeout{600};
+constexpr milliseconds poll_margin{400};
 
 /// Without word from a watcher for this long, a gateway asks the store itself.
-constexpr milliseconds patience{1300};
+constexpr milliseconds staleness_limit{1300};
 
 /// While neither serves, each try at the store costs a call.
-constexpr milliseconds retry_least{250};
-constexpr milliseconds retry_most{700};
-constexpr milliseconds idle_pause{100};
+constexpr milliseconds min_retry_delay{250};
+constexpr milliseconds max_retry_delay{700};
+constexpr milliseconds idle_delay{100};
 
 /// Changes come in bursts: replicas load new weights two by two, batches end and begin together. What comes
 /// within this time of a change is told by the next call, for a sixth of the time allowed. With a watcher
 /// for each two dozen: 2,859 calls of a calm day of 78 VMs, 4,011 with half the time and twice the watchers.
-constexpr milliseconds gather_time{300};
+constexpr milliseconds coalescing_delay{300};
 
 /// One for each loop: two gateways in one process raced for a shared one.
 std::mt19937_64& random()
@@ -56,16 +56,16 @@
     return shared;
 }
 
-duration retry_pause()
+duration retry_delay()
 {
-    std::uniform_int_distribution<std::int64_t> pause(retry_least.count(), retry_most.count());
-    return milliseconds{pause(random())};
+    std::uniform_int_distribution<std::int64_t> delay(min_retry_delay.count(), max_retry_delay.count());
+    return milliseconds{delay(random())};
 }
 
 } // namespace
 
-feed_hub::feed_hub(net::loop& loop, object_store& direct, peer_relay& peers, fleet_view& fleet,
-                   policy::quarantine& crashes, const std::vector<chosen_feed>& feeds)
+feed_sync::feed_sync(net::loop& loop, object_store& direct, peer_relay& peers, fleet_view& fleet,
+                     policy::quarantine& crashes, const std::vector<feed_registration>& feeds)
     : loop_(loop), direct_(direct), peers_(peers), fleet_(fleet), crashes_(crashes), changed_(loop),
       watch_ended_(loop)
 {
@@ -74,50 +74,51 @@
     }
 }
 
-void feed_hub::start()
+void feed_sync::start()
 {
-    for (std::size_t place = 0; place < feeds_.size(); ++place) {
-        net::start(loop_, follow_store(place));
+    for (std::size_t index = 0; index < feeds_.size(); ++index) {
+        net::start(loop_, sync_from_store(index));
     }
-    net::start(loop_, follow_peers());
-    net::start(loop_, check_store());
+    net::start(loop_, poll_peers());
+    net::start(loop_, ping_store());
 }
 
 // Watches look at this count to learn that their answer is of no more use; they list again then.
-void feed_hub::start_over()
+void feed_sync::restart_watches()
 {
-    ++silences_;
+    ++watch_generation_;
     watch_ended_.notify();
 }
 
-std::vector<std::string> feed_hub::watchers() const
+std::vector<std::string> feed_sync::watchers() const
 {
-    const auto count = std::max(least_watchers, fleet_.peers().size() / gateways_a_watcher);
+    const auto count = std::max(min_watchers, fleet_.peers().size() / gateways_per_watcher);
     return fleet_.watchers(count);
 }
 
-time_point feed_hub::confirmed() const
+time_point feed_sync::confirmed_at() const
 {
     auto oldest = time_point::max();
     for (const auto& entry : feeds_) {
-        oldest = entry.needed_here ? std::min(oldest, entry.content->confirmed()) : oldest;
+        oldest = entry.needed_here ? std::min(oldest, entry.content->confirmed_at()) : oldest;
     }
     return oldest;
 }
 
-bool feed_hub::watches() const
+bool feed_sync::should_watch() const
 {
     const auto chosen = watchers();
     const bool is_chosen = std::find(chosen.begin(), chosen.end(), fleet_.self()) != chosen.end();
-    return is_chosen || steady::now() - confirmed() > patience;
+    return is_chosen || steady::now() - confirmed_at() > staleness_limit;
 }
 
-bool feed_hub::serves() const
+bool feed_sync::store_reachable() const
 {
-    return std::all_of(feeds_.begin(), feeds_.end(), [](const followed& entry) { return entry.serving; });
+    return std::all_of(feeds_.begin(), feeds_.end(),
+                       [](const synced_feed& entry) { return entry.store_reachable; });
 }
 
-void feed_hub::note_source(const std::string& source)
+void feed_sync::set_source(const std::string& source)
 {
     if (source != source_ && (source == "store") != (source_ == "store")) {
         observe::log(observe::log_level::info, "feeds_source", {{"source", source}, {"before", source_}});
@@ -125,11 +126,11 @@
     source_ = source;
 }
 
-void feed_hub::note_failure(const error& why)
+void feed_sync::record_failure(const error& why)
 {
     last_failure_ = steady::now();
     if (!store_down_) {
-        const auto known = confirmed();
+        const auto known = confirmed_at();
         const auto age_ms = known == time_point{} // nothing was known yet
                                 ? std::int64_t{-1}
                                 : std::chrono::duration_cast<milliseconds>(last_failure_ - known).count();
@@ -141,22 +142,22 @@
 
 // After a failure one feed tries the store and the others wait for it: each try costs a call, also a refused
 // one.
-net::task<void> feed_hub::follow_store(std::size_t place)
+net::task<void> feed_sync::sync_from_store(std::size_t index)
 {
-    auto& entry = feeds_[place];
+    auto& entry = feeds_[index];
     while (true) {
-        if (!watches()) {
-            entry.serving = false;
+        if (!should_watch()) {
+            entry.store_reachable = false;
             entry.listed = false;
-            if (!entry.needed_here && entry.content->known()) {
-                entry.content->forget();
+            if (!entry.needed_here && entry.content->synced()) {
+                entry.content->reset();
             }
-            co_await net::sleep_for(loop_, idle_pause);
+            co_await net::sleep_for(loop_, idle_delay);
             continue;
         }
-        if (store_down_ && place != 0) {
-            entry.serving = false;
-            co_await net::sleep_for(loop_, idle_pause);
+        if (store_down_ && index != 0) {
+            entry.store_reachable = false;
+            co_await net::sleep_for(loop_, idle_delay);
             continue;
         }
         bool served = false;
@@ -166,23 +167,23 @@
         else {
             served = co_await list(entry);
         }
-        entry.serving = served;
+        entry.store_reachable = served;
         fleet_.set_watch_failing(!served);
-        const auto pause = served ? duration{gather_time} : retry_pause();
-        co_await net::sleep_for(loop_, pause);
+        const auto delay = served ? duration{coalescing_delay} : retry_delay();
+        co_await net::sleep_for(loop_, delay);
     }
 }
 
-net::task<bool> feed_hub::list(followed& entry)
+net::task<bool> feed_sync::list(synced_feed& entry)
 {
     std::map<std::string, stored_object> listed;
     std::uint64_t as_of = 0;
     std::string after;
-    const auto asked = steady::now();
+    const auto requested_at = steady::now();
     while (true) {
         const auto page = co_await direct_.list(entry.content->kind(), after);
         if (!ok(page)) {
-            note_failure(failure(page));
+            record_failure(failure(page));
             co_return false;
         }
         for (const auto& object : value(page).objects) {
@@ -195,30 +196,30 @@
             break;
         }
     }
-    entry.content->take_listing(std::move(listed), as_of, asked);
+    entry.content->apply_listing(std::move(listed), as_of, requested_at);
     entry.listed = true;
     last_answer_ = steady::now();
     store_down_ = false;
-    note_source("store");
+    set_source("store");
     changed_.notify();
     co_return true;
 }
 
-net::task<void> feed_hub::run_watch(std::string kind, std::uint64_t since, std::shared_ptr<watch_call> call)
+net::task<void> feed_sync::run_watch(std::string kind, std::uint64_t since, std::shared_ptr<watch_call> call)
 {
-    call->answer = co_await direct_.watch(std::move(kind), since, store_wait);
+    call->answer = co_await direct_.watch(std::move(kind), since, watch_timeout);
     watch_ended_.notify();
 }
 
-net::task<bool> feed_hub::watch(followed& entry)
+net::task<bool> feed_sync::watch(synced_feed& entry)
 {
-    const auto asked = steady::now();
+    const auto requested_at = steady::now();
     const auto since = entry.content->as_of();
     const auto call = std::make_shared<watch_call>();
-    const auto silences = silences_;
+    const auto generation = watch_generation_;
     net::start(loop_, run_watch(entry.content->kind(), since, call));
-    const auto until = asked + 2 * store_wait;
-    while (!call->answer && silences == silences_) {
+    const auto until = requested_at + 2 * watch_timeout;
+    while (!call->answer && generation == watch_generation_) {
         co_await watch_ended_.wait_until(until);
     }
     // What happened since the watch was cut is not known; listing again is sure.
@@ -229,7 +230,7 @@
     auto& seen = *call->answer;
     if (ok(seen)) {
         last_answer_ = steady::now();
-        entry.content->take_changes(std::move(value(seen)), asked);
+        entry.content->apply_changes(std::move(value(seen)), requested_at);
         store_down_ = false;
         changed_.notify();
         co_return true;
@@ -244,26 +245,26 @@
     co_return co_await list(entry);
 }
 
-net::task<void> feed_hub::check_store()
+net::task<void> feed_sync::ping_store()
 {
     while (true) {
-        co_await net::sleep_for(loop_, check_every);
-        if (!serves() || steady::now() - last_answer_ < check_every) {
+        co_await net::sleep_for(loop_, ping_interval);
+        if (!store_reachable() || steady::now() - last_answer_ < ping_interval) {
             continue;
         }
-        const auto silences = silences_;
-        const auto answered = co_await direct_.check(feeds_.front().content->kind(), check_time);
+        const auto generation = watch_generation_;
+        const auto answered = co_await direct_.ping(feeds_.front().content->kind(), ping_timeout);
         if (ok(answered)) {
             last_answer_ = steady::now();
             continue;
         }
-        if (!serves() || silences != silences_) {
+        if (!store_reachable() || generation != watch_generation_) {
             continue;
         }
-        note_failure(failure(answered));
-        ++silences_;
+        record_failure(failure(answered));
+        ++watch_generation_;
         for (auto& entry : feeds_) {
-            entry.serving = false;
+            entry.store_reachable = false;
         }
         fleet_.set_watch_failing(true);
         watch_ended_.notify();
@@ -273,7 +274,7 @@
 
 // Also a gateway that watches asks the others in turn: the store may have stopped to answer this VM alone, on
 // a connection that looks sound.
-net::task<void> feed_hub::follow_peers()
+net::task<void> feed_sync::poll_peers()
 {
     while (true) {
         std::vector<std::string> addresses;
@@ -285,116 +286,117 @@
             }
         }
         if (addresses.empty()) {
-            co_await net::sleep_for(loop_, idle_pause);
+            co_await net::sleep_for(loop_, idle_delay);
             continue;
         }
-        const auto address = addresses[turn_++ % addresses.size()];
-        const bool served = co_await ask_peer(address);
+        const auto address = addresses[next_peer_++ % addresses.size()];
+        const bool served = co_await poll_peer(address);
         if (!served) {
-            co_await net::sleep_for(loop_, idle_pause);
+            co_await net::sleep_for(loop_, idle_delay);
         }
     }
 }
 
-net::task<bool> feed_hub::ask_peer(std::string address)
+net::task<bool> feed_sync::poll_peer(std::string address)
 {
-    const auto asked = steady::now();
-    const auto known = exchanged_[address];
-    internal::news_question question{peer_wait, {}, crashes_.news(known.told, asked), known.heard};
+    const auto requested_at = steady::now();
+    const auto known = crash_revisions_[address];
+    internal::sync_request request{poll_timeout, {}, crashes_.news(known.sent, requested_at), known.received};
     for (const auto& entry : feeds_) {
         if (entry.needed_here) {
-            question.since[entry.content->kind()] = entry.content->known() ? entry.content->as_of() : 0;
+            request.since[entry.content->kind()] = entry.content->synced() ? entry.content->as_of() : 0;
         }
     }
-    auto text = internal::to_json(question);
-    const auto answer =
-        co_await peers_.ask(address, "/sync", std::move(text), asked + peer_wait + peer_margin);
+    auto body = internal::to_json(request);
+    const auto answer = co_await peers_.call_peer(address, "/sync", std::move(body),
+                                                  requested_at + poll_timeout + poll_margin);
     if (!ok(answer)) {
         co_return false;
     }
-    auto told = internal::answer_from_json(value(answer));
-    if (!ok(told)) {
+    auto response = internal::sync_response_from_json(value(answer));
+    if (!ok(response)) {
         observe::log(observe::log_level::warning, "peer_unreadable",
-                     {{"address", address}, {"why", describe(failure(told))}});
+                     {{"address", address}, {"why", describe(failure(response))}});
         co_return false;
     }
-    exchanged_[address] = {question.crashes.as_of, value(told).crashes.as_of};
-    const bool served = value(told).serves;
-    bool news = crashes_.merge(value(told).crashes, steady::now());
+    crash_revisions_[address] = {request.crashes.as_of, value(response).crashes.as_of};
+    const bool served = value(response).store_reachable;
+    bool changed = crashes_.merge(value(response).crashes, steady::now());
     if (served) {
-        news = take(std::move(value(told)), asked) || news;
-        if (!serves()) {
-            note_source(address);
+        changed = apply_response(std::move(value(response)), requested_at) || changed;
+        if (!store_reachable()) {
+            set_source(address);
         }
     }
-    if (news) {
+    if (changed) {
         changed_.notify();
     }
     co_return served;
 }
 
-bool feed_hub::take(internal::news_answer answer, time_point asked)
+bool feed_sync::apply_response(internal::sync_response response, time_point requested_at)
 {
-    if (answer.failed_ago) {
-        last_failure_ = std::max(last_failure_, asked - *answer.failed_ago);
+    if (response.failure_age) {
+        last_failure_ = std::max(last_failure_, requested_at - *response.failure_age);
     }
-    bool news = false;
+    bool changed = false;
     for (auto& entry : feeds_) {
-        const auto found = answer.by_kind.find(entry.content->kind());
-        if (found != answer.by_kind.end()) {
+        const auto found = response.feeds.find(entry.content->kind());
+        if (found != response.feeds.end()) {
             const auto before = entry.content->as_of();
-            entry.content->take_news(std::move(found->second), asked);
-            news = news || entry.content->has_news(before);
+            entry.content->apply_update(std::move(found->second), requested_at);
+            changed = changed || entry.content->changed_since(before);
         }
     }
-    return news;
+    return changed;
 }
 
-const feed* feed_hub::find(const std::string& kind) const
+const feed* feed_sync::find(const std::string& kind) const
 {
-    const auto found = std::find_if(feeds_.begin(), feeds_.end(),
-                                    [&kind](const followed& entry) { return entry.content->kind() == kind; });
+    const auto found = std::find_if(feeds_.begin(), feeds_.end(), [&kind](const synced_feed& entry) {
+        return entry.content->kind() == kind;
+    });
     return found == feeds_.end() ? nullptr : found->content;
 }
 
-bool feed_hub::has_news(const internal::news_question& question) const
+bool feed_sync::has_updates(const internal::sync_request& request) const
 {
-    return crashes_.has_news(question.crashes_since) ||
-           std::any_of(question.since.begin(), question.since.end(), [this](const auto& asked) {
-               const auto* content = find(asked.first);
-               return content != nullptr && content->has_news(asked.second);
+    return crashes_.has_news(request.crashes_since) ||
+           std::any_of(request.since.begin(), request.since.end(), [this](const auto& entry) {
+               const auto* content = find(entry.first);
+               return content != nullptr && content->changed_since(entry.second);
            });
 }
 
-net::task<net::http_response> feed_hub::serve(const net::http_request& request)
+net::task<net::http_response> feed_sync::serve(const net::http_request& request)
 {
     net::http_response response;
-    const auto read = internal::question_from_json(json::parse(request.body, nullptr, false));
+    const auto read = internal::sync_request_from_json(json::parse(request.body, nullptr, false));
     if (!ok(read)) {
         observe::log(observe::log_level::warning, "news_call_refused", {{"why", describe(failure(read))}});
         response.status = 400;
         response.body = failure(read).detail;
         co_return response;
     }
-    const auto& question = value(read);
-    const auto asked = steady::now();
-    if (crashes_.merge(question.crashes, asked)) {
+    const auto& wanted = value(read);
+    const auto requested_at = steady::now();
+    if (crashes_.merge(wanted.crashes, requested_at)) {
         changed_.notify();
     }
-    const auto until = asked + std::min(question.wait, peer_wait);
-    while (serves() && !has_news(question) && steady::now() < until) {
+    const auto until = requested_at + std::min(wanted.wait, poll_timeout);
+    while (store_reachable() && !has_updates(wanted) && steady::now() < until) {
         co_await changed_.wait_until(until);
     }
-    internal::news_answer answer;
-    answer.serves = serves();
-    answer.crashes = crashes_.news(question.crashes_since, steady::now());
+    internal::sync_response answer;
+    answer.store_reachable = store_reachable();
+    answer.crashes = crashes_.news(wanted.crashes_since, steady::now());
     if (last_failure_ != time_point{}) {
-        answer.failed_ago = std::chrono::duration_cast<milliseconds>(steady::now() - last_failure_);
+        answer.failure_age = std::chrono::duration_cast<milliseconds>(steady::now() - last_failure_);
     }
-    if (answer.serves) {
-        for (const auto& [kind, since] : question.since) {
+    if (answer.store_reachable) {
+        for (const auto& [kind, since] : wanted.since) {
             if (const auto* content = find(kind)) {
-                answer.by_kind[kind] = content->news(since);
+                answer.feeds[kind] = content->update_since(since);
             }
         }
     }
--- a/src/gateway/feed_sync.hpp
+++ b/src/gateway/feed_sync.hpp
@@ -16,21 +16,21 @@
 namespace vanillagauge::gateway {
 
 /// What a gateway follows only while it watches for the others is not asked of them at other times.
-struct chosen_feed {
+struct feed_registration {
     feed* content = nullptr;
     bool needed_here = true;
 };
 
-class feed_hub {
+class feed_sync {
 public:
     /// All must outlive it; the feeds' order decides which one tries the store first after a failure.
-    feed_hub(net::loop& loop, object_store& direct, peer_relay& peers, fleet_view& fleet,
-             policy::quarantine& crashes, const std::vector<chosen_feed>& feeds);
+    feed_sync(net::loop& loop, object_store& direct, peer_relay& peers, fleet_view& fleet,
+              policy::quarantine& crashes, const std::vector<feed_registration>& feeds);
 
     // Commands.
     void start();
     /// The store is another one: no watch that waits at the one before is waited for.
-    void start_over();
+    void restart_watches();
     /// Answers a gateway that asks for news: waits until there is some, or for at most the time it names.
     net::task<net::http_response> serve(const net::http_request& request);
 
@@ -44,49 +44,49 @@
         std::optional<result<object_changes>> answer;
     };
     /// Counts of changes to the crashes that two gateways know.
-    struct exchange {
-        std::uint64_t told = 0;  ///< of this gateway's, the other knows so far
-        std::uint64_t heard = 0; ///< of the other's, this one knows so far
+    struct crash_revisions {
+        std::uint64_t sent = 0;     ///< of this gateway's, the other knows so far
+        std::uint64_t received = 0; ///< of the other's, this one knows so far
     };
-    struct followed {
+    struct synced_feed {
         feed* content = nullptr;
         bool needed_here = true;
-        bool listed = false;  ///< its revision may be watched from
-        bool serving = false; ///< its last call to the store succeeded
+        bool listed = false;          ///< its revision may be watched from
+        bool store_reachable = false; ///< its last call to the store succeeded
     };
     net::loop& loop_;
     object_store& direct_;
     peer_relay& peers_;
     fleet_view& fleet_;
     policy::quarantine& crashes_;
-    std::map<std::string, exchange> exchanged_; ///< by the other gateway's address
-    std::vector<followed> feeds_;
+    std::map<std::string, crash_revisions> crash_revisions_; ///< by the other gateway's address
+    std::vector<synced_feed> feeds_;
     net::signal changed_;
     net::signal watch_ended_; ///< a watch has its answer, or the store was found silent
     std::string source_;      ///< where news came from last: "store", a relay's address, or nothing
-    std::size_t turn_ = 0;
+    std::size_t next_peer_ = 0;
     time_point last_failure_{};
     bool store_down_ = false;
-    time_point last_answer_{};   ///< of the store, to any call
-    std::uint64_t silences_ = 0; ///< how often the store was found silent or replaced
+    time_point last_answer_{};           ///< of the store, to any call
+    std::uint64_t watch_generation_ = 0; ///< how often the store was found silent or replaced
 
-    net::task<void> follow_store(std::size_t place);
-    net::task<bool> list(followed& entry);
-    net::task<bool> watch(followed& entry);
+    net::task<void> sync_from_store(std::size_t index);
+    net::task<bool> list(synced_feed& entry);
+    net::task<bool> watch(synced_feed& entry);
     net::task<void> run_watch(std::string kind, std::uint64_t since, std::shared_ptr<watch_call> call);
-    net::task<void> check_store();
-    net::task<void> follow_peers();
-    net::task<bool> ask_peer(std::string address);
+    net::task<void> ping_store();
+    net::task<void> poll_peers();
+    net::task<bool> poll_peer(std::string address);
     /// True where the answer had something new.
-    bool take(internal::news_answer answer, time_point asked);
-    bool has_news(const internal::news_question& question) const;
+    bool apply_response(internal::sync_response answer, time_point requested_at);
+    bool has_updates(const internal::sync_request& request) const;
     const feed* find(const std::string& kind) const;
     std::vector<std::string> watchers() const;
-    bool watches() const;
-    bool serves() const;
-    time_point confirmed() const;
-    void note_source(const std::string& source);
-    void note_failure(const error& why);
+    bool should_watch() const;
+    bool store_reachable() const;
+    time_point confirmed_at() const;
+    void set_source(const std::string& source);
+    void record_failure(const error& why);
 };
 
 } // namespace vanillagauge::gateway
--- a/src/gateway/fleet_view.cpp
+++ b/src/gateway/fleet_view.cpp
@@ -16,7 +16,7 @@
 constexpr const char* front_role = "front";
 
 /// A program is taken for gone when it was not heard for some seconds; this one speaks for itself.
-constexpr milliseconds hear_every{500};
+constexpr milliseconds heartbeat_interval{500};
 
 fleet::node self_of(const config::settings& settings, std::uint64_t incarnation)
 {
@@ -85,10 +85,10 @@
         keeper.hear(front, now);
     }
 
-    void repeat()
+    void announce_periodically()
     {
         announce();
-        loop.after(hear_every, [this] { repeat(); });
+        loop.after(heartbeat_interval, [this] { announce_periodically(); });
     }
 };
 
@@ -117,13 +117,13 @@
     held.keeper.set_addresses({value(peer_address), value(peer_address), value(datagrams)});
     held.keeper.on_change(std::move(on_change));
     held.loop.post([this] {
-        state_->repeat();
+        state_->announce_periodically();
         state_->exchange.start();
     });
     return done{};
 }
 
-void fleet_view::learn_peers(std::vector<std::string> peer_addresses)
+void fleet_view::add_peers(std::vector<std::string> peer_addresses)
 {
     state_->exchange.learn_peers(std::move(peer_addresses));
 }
@@ -172,7 +172,7 @@
     return living;
 }
 
-std::vector<std::string> fleet_view::owners_of(const std::string& thing) const
+std::vector<std::string> fleet_view::ranked_owners(const std::string& key) const
 {
     std::vector<std::string> able;
     for (const auto& peer : peers()) {
@@ -180,19 +180,19 @@
             able.push_back(peer.vm);
         }
     }
-    return fleet::ranked_owners(thing, std::move(able));
+    return fleet::ranked_owners(key, std::move(able));
 }
 
-bool fleet_view::lives(const std::string& vm, std::uint64_t incarnation) const
+bool fleet_view::is_alive(const std::string& vm, std::uint64_t incarnation) const
 {
     if (vm == vm_) {
         return incarnation == incarnation_;
     }
     for (const auto& member : state_->keeper.members()) {
         if (member.info.vm == vm) {
-            const bool gone =
+            const bool removed =
                 member.state == fleet::member_state::dead || member.state == fleet::member_state::left;
-            return !gone && member.info.incarnation == incarnation;
+            return !removed && member.info.incarnation == incarnation;
         }
     }
     return false;
--- a/src/gateway/fleet_view.hpp
+++ b/src/gateway/fleet_view.hpp
@@ -36,7 +36,7 @@
     result<done> open(const std::string& relay_address, const std::string& front_address,
                       std::function<void()> on_change);
     /// Peers that the store names, for a newcomer whose seeds are all gone.
-    void learn_peers(std::vector<std::string> peer_addresses);
+    void add_peers(std::vector<std::string> peer_addresses);
     /// Whether callers may be sent to this VM's front.
     void set_front_open(bool open);
     /// The store does not serve this VM's watches: another should watch for the others.
@@ -53,9 +53,9 @@
     std::vector<gateway_peer> peers() const;
     /// Living gateways that take work, in the order in which they would own `thing`: the same by every view
     /// that agrees on the members.
-    std::vector<std::string> owners_of(const std::string& thing) const;
+    std::vector<std::string> ranked_owners(const std::string& key) const;
     /// A VM is alive under this incarnation, as far as this one knows.
-    bool lives(const std::string& vm, std::uint64_t incarnation) const;
+    bool is_alive(const std::string& vm, std::uint64_t incarnation) const;
     /// Up to `count` living VMs that watch the store for the others.
     std::vector<std::string> watchers(std::size_t count) const;
     bool isolated() const;
--- a/src/gateway/forwarder.cpp
+++ b/src/gateway/forwarder.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 /// A route without a time-out and a caller that names no time.
-constexpr milliseconds longest_call{60000};
+constexpr milliseconds default_call_timeout{60000};
 
 /// A replica that has not answered an idempotent request after this many target latencies is taken for hung,
 /// while there is another to ask: the slowest of a hundred answers takes some five times the mean.
-constexpr int hung_after_targets = 4;
-constexpr milliseconds hung_least{400};
+constexpr int hang_latency_factor = 4;
+constexpr milliseconds min_hang_timeout{400};
 
 /// When to come back to a service without a usable replica: one that crashed is back after some seconds.
 constexpr milliseconds no_replica_retry_after{500};
@@ -46,35 +46,35 @@
 
 // Calls of the gateway's own have a gate apart: they take longer than callers' requests and come in bursts,
 // so one line and one measure of latency for both would make each replica look slow, and callers would wait.
-service_gate* forwarder::gate_of(const call& current)
+admission_queue* forwarder::queue_of(const call& current)
 {
     const auto& service = current.service;
-    auto& gate = current.own() ? own_gates_[service] : gates_[service];
-    if (!gate) {
+    auto& queue = current.internal() ? internal_queues_[service] : queues_[service];
+    if (!queue) {
         const auto replicas = targets_.of_service(service);
         if (replicas.empty()) {
             return nullptr;
         }
         const auto slots = replicas.front()->info.slots;
         policy::pool_options options{.limited = true, .initial_limit = std::max(slots, 1)};
-        if (current.own()) {
+        if (current.internal()) {
             options.initial_limit = policy::background_places(slots);
             options.adaptive = false;
         }
         const auto patience =
-            current.own() ? policy::queue_patience::until_due : policy::queue_patience::caller;
-        gate = std::make_unique<service_gate>(loop_, random_(), options, patience);
-        gate->update(replicas, steady::now());
+            current.internal() ? policy::queue_patience::until_due : policy::queue_patience::caller;
+        queue = std::make_unique<admission_queue>(loop_, random_(), options, patience);
+        queue->update(replicas, steady::now());
     }
-    return gate.get();
+    return queue.get();
 }
 
 void forwarder::refresh(time_point now)
 {
-    for (auto* gates : {&gates_, &own_gates_}) {
-        for (auto& [service, gate] : *gates) {
-            if (gate) {
-                gate->update(targets_.of_service(service), now);
+    for (auto* queues : {&queues_, &internal_queues_}) {
+        for (auto& [service, queue] : *queues) {
+            if (queue) {
+                queue->update(targets_.of_service(service), now);
             }
         }
     }
@@ -82,14 +82,14 @@
 
 forwarder::call forwarder::begin(const route& chosen, const caller_request& request)
 {
-    const auto allowed = request.time_allowed.value_or(longest_call);
+    const auto allowed = request.timeout.value_or(default_call_timeout);
     const auto kept = chosen.timeout.count() > 0 ? std::min(allowed, chosen.timeout) : allowed;
     call current{
-        chosen, request, nullptr, request.arrived + kept,
+        chosen, request, nullptr, request.arrived_at + kept,
         observe::span(observe::parse_traceparent(request.http.fields.find(observe::traceparent_field)),
                       "forward")};
-    current.hop.note("request_id", request.attempt_id);
-    current.hop.note("route", chosen.name);
+    current.span.note("request_id", request.attempt_id);
+    current.span.note("route", chosen.name);
     current.service = pick_service(chosen, std::uniform_real_distribution<double>(0, 1)(random_));
     current.work.id = next_work_++;
     current.work.caller = request.host;
@@ -103,16 +103,16 @@
 }
 
 // Nobody waits for the answer any more.
-void forwarder::withdraw(call& current)
+void forwarder::cancel(call& current)
 {
-    current.gone = true;
+    current.client_gone = true;
     if (current.connection) {
         current.connection->close();
     }
-    auto& gates = current.own() ? own_gates_ : gates_;
-    const auto gate = gates.find(current.service);
-    if (gate != gates.end() && gate->second) {
-        gate->second->withdraw(current.work.id);
+    auto& queues = current.internal() ? internal_queues_ : queues_;
+    const auto queue = queues.find(current.service);
+    if (queue != queues.end() && queue->second) {
+        queue->second->cancel(current.work.id);
     }
 }
 
@@ -120,45 +120,45 @@
 {
     auto current = begin(chosen, request);
     current.answer = &answer;
-    answer.on_client_gone([this, &current] { withdraw(current); });
+    answer.on_client_gone([this, &current] { cancel(current); });
     auto outcome = co_await run(current);
-    co_await answer_with(current, std::move(outcome));
+    co_await send_outcome(current, std::move(outcome));
 }
 
-net::task<own_call_outcome> forwarder::make_call(route chosen, caller_request request,
-                                                 policy::priority urgency,
-                                                 std::shared_ptr<call_ticket> ticket)
+net::task<internal_call_outcome> forwarder::make_internal_call(route chosen, caller_request request,
+                                                               policy::priority urgency,
+                                                               std::shared_ptr<cancellation_token> ticket)
 {
     auto current = begin(chosen, request);
     current.work.urgency = urgency;
-    ticket->on_cancel([this, &current] { withdraw(current); });
+    ticket->on_cancel([this, &current] { cancel(current); });
     auto outcome = co_await run(current);
     ticket->on_cancel(nullptr);
-    log_end(current, outcome);
+    log_outcome(current, outcome);
     if (outcome.not_run) {
         outcome.result = not_run(error_code::overloaded, "the replicas are full", no_replica_retry_after);
     }
-    own_call_outcome told{error{}, current.internal_errors};
-    std::visit([&told](auto& ended) { told.response = std::move(ended); }, outcome.result);
-    co_return told;
+    internal_call_outcome answered{error{}, current.internal_errors};
+    std::visit([&answered](auto& ended) { answered.response = std::move(ended); }, outcome.result);
+    co_return answered;
 }
 
-bool forwarder::may_take(const call& current) const
+bool forwarder::accepts(const call& current) const
 {
     const auto form =
         current.chosen.kind == route_kind::stream ? policy::answer_form::stream : policy::answer_form::whole;
-    return current.own() || stop_->takes(current.request.arrived, current.deadline, form);
+    return current.internal() || stop_->takes(current.request.arrived_at, current.deadline, form);
 }
 
 net::task<forwarder::attempt_outcome> forwarder::run(call& current)
 {
     attempt_outcome outcome;
-    if (stop_ && !may_take(current)) {
+    if (stop_ && !accepts(current)) {
         outcome.result = not_run(error_code::unavailable, "the gateway stops", stopping_retry_after);
         co_return outcome;
     }
-    auto* gate = gate_of(current);
-    if (gate == nullptr) {
+    auto* queue = queue_of(current);
+    if (queue == nullptr) {
         outcome.result =
             not_run(error_code::unavailable, "the service has no usable replica", no_replica_retry_after);
         co_return outcome;
@@ -168,42 +168,42 @@
         outcome.result = failure(suspect);
         co_return outcome;
     }
-    auto admitted = co_await gate->admit(current.work);
+    auto admitted = co_await queue->admit(current.work);
     while (true) {
         if (!ok(admitted)) {
             outcome.result = failure(admitted);
             break;
         }
-        const auto lifetime = value(admitted);
-        const auto at = targets_.find(lifetime);
+        const auto instance_id = value(admitted);
+        const auto at = targets_.find(instance_id);
         const auto began = steady::now();
         if (!at || !at->usable) {
-            gate->finish(lifetime, {});
+            queue->finish(instance_id, {});
             outcome.result = not_run(error_code::unavailable, "the replica has left", no_replica_retry_after);
         }
         else {
             ++current.attempts;
-            observe::span hop(current.hop.context(), "attempt");
-            hop.note("replica", lifetime);
-            current.replica = lifetime;
-            current.attempt_context = hop.context();
-            if (current.chosen.kind == route_kind::stream && !current.own()) {
+            observe::span attempt_span(current.span.context(), "attempt");
+            attempt_span.note("replica", instance_id);
+            current.replica = instance_id;
+            current.attempt_context = attempt_span.context();
+            if (current.chosen.kind == route_kind::stream && !current.internal()) {
                 outcome = co_await stream(current, at, current.deadline);
             }
             else {
-                outcome = co_await attempt(current, at, attempt_end(current, *gate, began));
+                outcome = co_await attempt(current, at, attempt_deadline(current, *queue, began));
             }
-            outcome.replica = lifetime;
-            hop.note("outcome", outcome.text());
+            outcome.replica = instance_id;
+            attempt_span.note("outcome", outcome.text());
             current.internal_errors += outcome.internal_error() ? 1 : 0;
-            report(*gate, at, outcome, steady::now() - began);
+            report(*queue, at, outcome, steady::now() - began);
         }
         const auto now = steady::now();
-        if (outcome.succeeded() || !may_go_on(current, outcome, now)) {
+        if (outcome.succeeded() || !may_retry(current, outcome, now)) {
             break;
         }
-        current.work.tried.insert(lifetime);
-        const auto next = gate->retry(current.work);
+        current.work.tried.insert(instance_id);
+        const auto next = queue->retry(current.work);
         if (!next) {
             break;
         }
@@ -212,24 +212,25 @@
     co_return outcome;
 }
 
-time_point forwarder::attempt_end(const call& current, const service_gate& gate, time_point now) const
+time_point forwarder::attempt_deadline(const call& current, const admission_queue& queue,
+                                       time_point now) const
 {
     if (!current.repeatable() || current.attempts >= current.chosen.attempts) {
         return current.deadline;
     }
-    const duration of_route = current.chosen.target_latency * hung_after_targets;
-    const auto patience = current.own() ? gate.hedge_delay() : of_route;
-    return std::min(current.deadline, now + std::max<duration>(patience, hung_least));
+    const duration of_route = current.chosen.target_latency * hang_latency_factor;
+    const auto patience = current.internal() ? queue.hedge_delay() : of_route;
+    return std::min(current.deadline, now + std::max<duration>(patience, min_hang_timeout));
 }
 
 // A request that is not idempotent goes on only where the replica itself, or a connection that was never
 // made, proves that it has not run. A reset or a silence proves nothing.
-bool forwarder::may_go_on(const call& current, const attempt_outcome& outcome, time_point now) const
+bool forwarder::may_retry(const call& current, const attempt_outcome& outcome, time_point now) const
 {
-    if (current.gone || now >= current.deadline || current.attempts >= current.chosen.attempts) {
+    if (current.client_gone || now >= current.deadline || current.attempts >= current.chosen.attempts) {
         return false;
     }
-    if (current.begun) {
+    if (current.response_started) {
         return current.repeatable();
     }
     const auto* failed = std::get_if<error>(&outcome.result);
@@ -237,7 +238,7 @@
     return provably_not_run || current.repeatable();
 }
 
-void forwarder::report(service_gate& gate, const target_ref& at, const attempt_outcome& outcome,
+void forwarder::report(admission_queue& queue, const target_ref& at, const attempt_outcome& outcome,
                        duration took)
 {
     policy::ending_report ended;
@@ -251,18 +252,18 @@
         ended.kind = outcome.succeeded() ? policy::ending::answered : policy::ending::failed;
     }
     if (outcome.load) {
-        gate.on_load(at->info.lifetime(), *outcome.load);
+        queue.on_load(at->info.instance_id(), *outcome.load);
     }
-    gate.finish(at->info.lifetime(), ended);
+    queue.finish(at->info.instance_id(), ended);
 }
 
-net::task<void> forwarder::answer_with(call& current, attempt_outcome outcome)
+net::task<void> forwarder::send_outcome(call& current, attempt_outcome outcome)
 {
-    log_end(current, outcome);
+    log_outcome(current, outcome);
     if (outcome.finished_stream) {
         co_return;
     }
-    if (current.begun || current.gone) {
+    if (current.response_started || current.client_gone) {
         current.answer->abort(); // an answer that has begun and cannot be completed must not look whole
         co_return;
     }
@@ -273,17 +274,17 @@
     auto reason = outcome.not_run
                       ? not_run(error_code::overloaded, "the replicas are full", no_replica_retry_after)
                       : std::get<error>(outcome.result);
-    co_await current.answer->send(protocol_.to_response(reason));
+    co_await current.answer->send(protocol_.error_response(reason));
 }
 
-void forwarder::log_end(call& current, const attempt_outcome& outcome) const
+void forwarder::log_outcome(call& current, const attempt_outcome& outcome) const
 {
-    const auto took = std::chrono::duration_cast<milliseconds>(steady::now() - current.request.arrived);
-    counts_.record("request_time", steady::now() - current.request.arrived);
+    const auto took = std::chrono::duration_cast<milliseconds>(steady::now() - current.request.arrived_at);
+    counts_.record("request_time", steady::now() - current.request.arrived_at);
     const bool good = outcome.succeeded();
     counts_.add(good ? "requests_total{outcome=\"answered\"}" : "requests_total{outcome=\"failed\"}");
     const auto text = outcome.text();
-    current.hop.note("outcome", text);
+    current.span.note("outcome", text);
     observe::log(good ? observe::log_level::info : observe::log_level::warning, "request_ended",
                  {{"request", current.request.attempt_id},
                   {"route", current.chosen.name},
--- a/src/gateway/forwarder.hpp
+++ b/src/gateway/forwarder.hpp
@@ -26,13 +26,13 @@
     net::http_request http;
     std::string host;
     std::string attempt_id;
-    std::optional<milliseconds> time_allowed{};  ///< how long the caller waits
+    std::optional<milliseconds> timeout{};       ///< how long the caller waits
     std::optional<std::uint64_t> resume_after{}; ///< the last event of the stream that the caller has
-    time_point arrived{};
+    time_point arrived_at{};
 };
 
 /// Ends a call of the gateway's own before its answer is there.
-class call_ticket {
+class cancellation_token {
 public:
     void on_cancel(std::function<void()> callback) { callback_ = std::move(callback); }
     void cancel()
@@ -50,7 +50,7 @@
 };
 
 /// How a call of the gateway's own ended.
-struct own_call_outcome {
+struct internal_call_outcome {
     result<net::http_response> response;
     int internal_errors = 0; ///< replicas that answered 500
 };
@@ -65,10 +65,11 @@
     net::task<void> forward(route chosen, caller_request request, net::responder& answer);
     /// Makes a call for work that this gateway does for others. It may run more than once. Its places at the
     /// replicas are its own, few, and given to urgent calls first.
-    net::task<own_call_outcome> make_call(route chosen, caller_request request, policy::priority urgency,
-                                          std::shared_ptr<call_ticket> ticket);
+    net::task<internal_call_outcome> make_internal_call(route chosen, caller_request request,
+                                                        policy::priority urgency,
+                                                        std::shared_ptr<cancellation_token> ticket);
     /// Refuses from now on callers' requests that the plan does not take.
-    void stop_by(std::shared_ptr<const policy::stop_plan> plan) { stop_ = std::move(plan); }
+    void set_stop_plan(std::shared_ptr<const policy::stop_plan> plan) { stop_ = std::move(plan); }
     /// The replicas or the configuration changed.
     void refresh(time_point now);
 
@@ -81,16 +82,17 @@
     observe::metrics& counts_;
     policy::quarantine& crashes_;
     std::string failure_domain_;
-    std::shared_ptr<const policy::stop_plan> stop_;              ///< null: this process is not told to stop
-    std::map<std::string, std::unique_ptr<service_gate>> gates_; ///< of callers' requests, by service
-    std::map<std::string, std::unique_ptr<service_gate>> own_gates_; ///< of calls of the gateway's own
+    std::shared_ptr<const policy::stop_plan> stop_; ///< null: this process is not told to stop
+    std::map<std::string, std::unique_ptr<admission_queue>> queues_; ///< of callers' requests, by service
+    std::map<std::string, std::unique_ptr<admission_queue>>
+        internal_queues_; ///< of calls of the gateway's own
     std::mt19937_64 random_{std::random_device{}()};
     std::uint64_t next_work_ = 1;
 
-    service_gate* gate_of(const call& current);
+    admission_queue* queue_of(const call& current);
     call begin(const route& chosen, const caller_request& request);
-    void withdraw(call& current);
-    bool may_take(const call& current) const;
+    void cancel(call& current);
+    bool accepts(const call& current) const;
     net::task<attempt_outcome> run(call& current);
     net::task<attempt_outcome> attempt(call& current, target_ref at, time_point until);
     net::task<attempt_outcome> stream(call& current, target_ref at, time_point until);
@@ -100,12 +102,12 @@
     net::task<attempt_outcome> forward_events(call& current, net::http_connection& connection,
                                               net::response_head head);
     /// The replica closed the connection before its answer.
-    void note_crash(const call& current, bool reused);
-    bool may_go_on(const call& current, const attempt_outcome& outcome, time_point now) const;
-    time_point attempt_end(const call& current, const service_gate& gate, time_point now) const;
-    void report(service_gate& gate, const target_ref& at, const attempt_outcome& outcome, duration took);
-    net::task<void> answer_with(call& current, attempt_outcome outcome);
-    void log_end(call& current, const attempt_outcome& outcome) const;
+    void record_crash(const call& current, bool reused);
+    bool may_retry(const call& current, const attempt_outcome& outcome, time_point now) const;
+    time_point attempt_deadline(const call& current, const admission_queue& queue, time_point now) const;
+    void report(admission_queue& queue, const target_ref& at, const attempt_outcome& outcome, duration took);
+    net::task<void> send_outcome(call& current, attempt_outcome outcome);
+    void log_outcome(call& current, const attempt_outcome& outcome) const;
 };
 
 } // namespace vanillagauge::gateway
--- a/src/gateway/forwarder_attempts.cpp
+++ b/src/gateway/forwarder_attempts.cpp
@@ -5,15 +5,15 @@
 namespace vanillagauge::gateway {
 namespace {
 
-constexpr std::size_t largest_answer = 64U << 20U;
+constexpr std::size_t max_response_bytes = 64U << 20U;
 
 /// Of a replica that names no time for idle connections.
-constexpr milliseconds idle_time{4000};
+constexpr milliseconds default_idle_timeout{4000};
 
 /// A stream is silent for at most this long before it is taken for broken.
-constexpr milliseconds stream_silence{5000};
+constexpr milliseconds stream_idle_timeout{5000};
 
-net::http_fields forwarded(const net::http_fields& fields)
+net::http_fields end_to_end_fields(const net::http_fields& fields)
 {
     net::http_fields kept;
     const auto connection = fields.find("Connection");
@@ -27,27 +27,27 @@
 
 /// Whole events of a stream as they were sent, for a stream that may be resumed: half an event could not be
 /// completed by another replica.
-class whole_events {
+class event_buffer {
 public:
     /// The text up to the end of the last whole event.
     std::string take(std::string_view bytes)
     {
-        held_ += bytes;
-        const auto end = held_.rfind("\n\n");
+        pending_ += bytes;
+        const auto end = pending_.rfind("\n\n");
         if (end == std::string::npos) {
             return {};
         }
-        auto whole = held_.substr(0, end + 2);
-        held_.erase(0, end + 2);
-        return whole;
+        auto complete = pending_.substr(0, end + 2);
+        pending_.erase(0, end + 2);
+        return complete;
     }
-    bool mid_event() const { return !held_.empty(); }
+    bool has_partial_event() const { return !pending_.empty(); }
 
 private:
-    std::string held_;
+    std::string pending_;
 };
 
-error broken(const net::http_failure& failed, bool repeatable)
+error connection_error(const net::http_failure& failed, bool repeatable)
 {
     const auto ran = failed.sent ? run_state::in_doubt : run_state::not_run;
     if (failed.kind == net::failure_kind::cancelled) {
@@ -61,14 +61,14 @@
 
 } // namespace
 
-void forwarder::note_crash(const call& current, bool reused)
+void forwarder::record_crash(const call& current, bool reused)
 {
     const auto now = steady::now();
     if (reused) {
         crashes_.on_doubtful_crash(current.fingerprint, now);
     }
     else {
-        crashes_.on_crash(current.fingerprint, current.replica, current.sent, now);
+        crashes_.on_crash(current.fingerprint, current.replica, current.sent_at, now);
     }
     observe::log(observe::log_level::warning, "replica_lost_under_request",
                  {{"request", current.request.attempt_id},
@@ -90,11 +90,11 @@
     auto connecting = may_reuse ? at->pool.take(until) : at->pool.take_new(until);
     auto taken = co_await std::move(connecting);
     if (const auto* failed = std::get_if<net::http_failure>(&taken)) {
-        outcome.result = broken(*failed, current.repeatable());
+        outcome.result = connection_error(*failed, current.repeatable());
         co_return outcome;
     }
     connection = std::get<std::shared_ptr<net::http_connection>>(taken);
-    if (current.gone) {
+    if (current.client_gone) {
         outcome.result = error{error_code::cancelled, run_state::not_run, "the client has left"};
         co_return outcome;
     }
@@ -104,28 +104,28 @@
     sent.replica_id = at->info.id;
     sent.time_left = remaining(steady::now(), current.deadline);
     sent.resume_after = current.last_event;
-    auto request = protocol_.to_replica(current.request.http, sent);
+    auto request = protocol_.replica_request(current.request.http, sent);
     if (request.fields.contains(observe::traceparent_field)) {
         request.fields.set(observe::traceparent_field, observe::traceparent(current.attempt_context));
     }
-    current.sent = steady::now();
+    current.sent_at = steady::now();
     const auto written = co_await connection->send(request, until);
     // A replica may answer and close before it has read a long body; the answer counts.
     const auto* unwritten = std::get_if<net::http_failure>(&written);
     if (unwritten != nullptr && unwritten->kind != net::failure_kind::closed) {
-        outcome.result = broken(*unwritten, current.repeatable());
+        outcome.result = connection_error(*unwritten, current.repeatable());
         co_return outcome;
     }
     auto read = co_await connection->read_head(until);
     if (const auto* failed = std::get_if<net::http_failure>(&read)) {
         if (failed->kind == net::failure_kind::closed) {
-            note_crash(current, connection->reused());
+            record_crash(current, connection->reused());
         }
-        outcome.result = broken(*failed, current.repeatable());
+        outcome.result = connection_error(*failed, current.repeatable());
         co_return outcome;
     }
     head = std::move(std::get<net::response_head>(read));
-    const auto marks = protocol_.marks(head.status, head.fields, current.request.attempt_id);
+    const auto marks = protocol_.parse_metadata(head.status, head.fields, current.request.attempt_id);
     outcome.load = marks.load;
     outcome.not_run = marks.not_run;
     const bool success = head.status >= 200 && head.status < 300;
@@ -135,7 +135,7 @@
                                "the answer belongs to another request or is not the replica's"};
         co_return outcome;
     }
-    outcome.result = net::http_response{head.status, forwarded(head.fields), {}};
+    outcome.result = net::http_response{head.status, end_to_end_fields(head.fields), {}};
     co_return outcome;
 }
 
@@ -145,17 +145,18 @@
     net::response_head head;
     auto outcome = co_await open_answer(current, at, until, connection, head);
     if (std::holds_alternative<net::http_response>(outcome.result)) {
-        auto body = co_await connection->read_body(largest_answer, until);
+        auto body = co_await connection->read_body(max_response_bytes, until);
         if (const auto* failed = std::get_if<net::http_failure>(&body)) {
-            outcome.result = broken(*failed, current.repeatable());
+            outcome.result = connection_error(*failed, current.repeatable());
         }
         else {
             std::get<net::http_response>(outcome.result).body = std::move(std::get<std::string>(body));
             if (!outcome.not_run) {
                 crashes_.on_answer(current.fingerprint, steady::now());
             }
-            at->pool.give_back(connection,
-                               head.keep_alive ? net::idle_time_of(head.fields, idle_time) : duration{0});
+            at->pool.give_back(connection, head.keep_alive
+                                               ? net::idle_time_of(head.fields, default_idle_timeout)
+                                               : duration{0});
         }
     }
     current.connection.reset();
@@ -177,12 +178,12 @@
         }
     }
     else if (response != nullptr) {
-        auto body = co_await connection->read_body(largest_answer, until);
+        auto body = co_await connection->read_body(max_response_bytes, until);
         if (auto* text = std::get_if<std::string>(&body)) {
             response->body = std::move(*text);
         }
         else {
-            outcome.result = broken(std::get<net::http_failure>(body), current.repeatable());
+            outcome.result = connection_error(std::get<net::http_failure>(body), current.repeatable());
         }
     }
     if (connection) {
@@ -196,24 +197,24 @@
 forwarder::forward_events(call& current, net::http_connection& connection, net::response_head head)
 {
     attempt_outcome outcome;
-    if (!current.begun) {
-        current.begun = true;
-        const bool handed_over = co_await current.answer->begin(head.status, forwarded(head.fields));
+    if (!current.response_started) {
+        current.response_started = true;
+        const bool handed_over = co_await current.answer->begin(head.status, end_to_end_fields(head.fields));
         if (!handed_over) {
             outcome.result = error{error_code::cancelled, run_state::in_doubt, "the client has left"};
             co_return outcome;
         }
     }
-    whole_events events;
+    event_buffer events;
     net::event_reader reader;
     bool any_event = false; // a replica that is lost later had begun to run the request safely
     while (true) {
-        auto read = co_await connection.read_piece(steady::now() + stream_silence);
+        auto read = co_await connection.read_piece(steady::now() + stream_idle_timeout);
         if (const auto* failed = std::get_if<net::http_failure>(&read)) {
             if (failed->kind == net::failure_kind::closed && !any_event) {
-                note_crash(current, false);
+                record_crash(current, false);
             }
-            outcome.result = broken(*failed, current.repeatable());
+            outcome.result = connection_error(*failed, current.repeatable());
             co_return outcome;
         }
         auto& piece = std::get<net::body_piece>(read);
@@ -230,7 +231,7 @@
             outcome.result = error{error_code::cancelled, run_state::in_doubt, "the client has left"};
             co_return outcome;
         }
-        if (piece.last && !events.mid_event()) {
+        if (piece.last && !events.has_partial_event()) {
             co_await current.answer->finish();
             outcome.finished_stream = true;
             co_return outcome;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -21,23 +21,23 @@
 
 /// Entries of replicas that lapse while the store is away are back within some two seconds of its return, if
 /// the replica lives; until then the replica stays in use.
-constexpr milliseconds lapse_grace{2200};
+constexpr milliseconds expiry_grace{2200};
 /// A removal this long after the store's last failure is no lapse of an outage any more.
-constexpr milliseconds outage_memory{3000};
+constexpr milliseconds outage_window{3000};
 
 /// A request is held after the loss of two replicas that this gateway sent it to, or of three in all: an
 /// innocent one may be under way at two gateways when replicas are lost at the same moment.
 constexpr policy::quarantine_limits crash_limits{2, 3};
 
-constexpr milliseconds housekeeping_every{100};
+constexpr milliseconds housekeeping_interval{100};
 /// A VM that knows no other asks the store again who there is, after the first pause and then twice as long
 /// each time: a list that failed is made up for soon, and a fleet of one costs two calls a minute.
-constexpr milliseconds alone_pause_least{500};
-constexpr milliseconds alone_pause_most{30000};
-constexpr milliseconds register_retry{1000};
+constexpr milliseconds min_discovery_delay{500};
+constexpr milliseconds max_discovery_delay{30000};
+constexpr milliseconds register_retry_delay{1000};
 
 /// Callers are given at most this many addresses.
-constexpr std::size_t most_addresses = 64;
+constexpr std::size_t max_addresses = 64;
 
 void log_unreadable(const std::string& kind, const std::string& name, const error& why)
 {
@@ -49,12 +49,12 @@
 
 struct gateway::state {
     state(wire::event_loop& events, const config::settings& chosen, object_store& store,
-          const target_protocol& protocol, foreign_objects known);
+          const target_protocol& protocol, store_schema known);
 
     wire::event_loop& event_loop;
     net::loop& loop;
     config::settings settings;
-    foreign_objects foreign;
+    store_schema schema;
     observe::metrics counts;
     fleet_view fleet;
     peer_relay relay;
@@ -67,9 +67,9 @@
     feed replicas;
     feed configurations;
     feed versions;
-    feed headers;
+    feed batch_headers;
     feed retirements;
-    feed_hub feeds;
+    feed_sync feeds;
     batch_service batches;
     weights_keeper weights;
     net::http_service peers;
@@ -77,44 +77,44 @@
     std::optional<std::vector<std::string>> registered; ///< VMs that the store names
 
     net::task<void> serve_peer(const net::http_request& request, net::responder& answer);
-    net::task<void> keep_house();
+    net::task<void> run_housekeeping();
     net::task<bool> register_member();
-    net::task<void> learn_members();
-    net::task<void> meet_the_others();
+    net::task<void> list_members();
+    net::task<void> discover_members();
     net::task<void> mark_retired(std::string vm);
-    void take_replica(const object_change& change);
-    void take_configuration(const object_change& change);
-    void take_version(const object_change& change);
-    void take_header(const object_change& change);
-    void take_retirement(const object_change& change);
+    void on_replica(const object_change& change);
+    void on_configuration(const object_change& change);
+    void on_version(const object_change& change);
+    void on_batch(const object_change& change);
+    void on_retirement(const object_change& change);
     void replicas_changed();
     bool ready() const;
-    bool knows_all_registered() const;
+    bool sees_all_registered() const;
     bool serves_callers() const { return !settings.gateway.front_listen.empty(); }
 };
 
 gateway::state::state(wire::event_loop& events, const config::settings& chosen, object_store& store,
-                      const target_protocol& protocol, foreign_objects known)
-    : event_loop(events), loop(events.context()), settings(chosen), foreign(std::move(known)),
+                      const target_protocol& protocol, store_schema known)
+    : event_loop(events), loop(events.context()), settings(chosen), schema(std::move(known)),
       fleet(events, settings), relay(loop, store, fleet), targets(loop),
       forwarding(loop, targets, protocol, counts, crashes, settings.failure_domain),
       scorer(forwarding, protocol, [this]() -> const configuration& { return current; }),
       runner(loop, relay, fleet, targets, protocol, scorer, counts),
-      replicas(foreign.replicas, [this](const object_change& change) { take_replica(change); }),
-      configurations(foreign.configurations,
-                     [this](const object_change& change) { take_configuration(change); }),
-      versions(foreign.versions, [this](const object_change& change) { take_version(change); }),
-      headers(batch_kind, [this](const object_change& change) { take_header(change); }),
-      retirements(foreign.retirements, [this](const object_change& change) { take_retirement(change); }),
+      replicas(schema.replicas, [this](const object_change& change) { on_replica(change); }),
+      configurations(schema.configurations,
+                     [this](const object_change& change) { on_configuration(change); }),
+      versions(schema.versions, [this](const object_change& change) { on_version(change); }),
+      batch_headers(batch_kind, [this](const object_change& change) { on_batch(change); }),
+      retirements(schema.retirements, [this](const object_change& change) { on_retirement(change); }),
       // A VM that serves no callers uses neither replicas nor versions nor batches; the news of them would be
       // most of what it is sent.
       feeds(loop, store, relay, fleet, crashes,
             {{&configurations},
              {&replicas, serves_callers()},
              {&versions, serves_callers()},
-             {&headers, serves_callers()},
+             {&batch_headers, serves_callers()},
              {&retirements}}),
-      batches(loop, relay, headers, runner, fleet),
+      batches(loop, relay, batch_headers, runner, fleet),
       weights(loop, relay, fleet, targets, protocol, settings,
               [this]() -> const configuration& { return current; }),
       peers(
@@ -131,21 +131,21 @@
     runner.wake();
 }
 
-void gateway::state::take_replica(const object_change& change)
+void gateway::state::on_replica(const object_change& change)
 {
     const auto& object = change.object;
     if (change.removed) {
         const auto now = steady::now();
         const bool outage =
-            feeds.last_failure() != time_point{} && now - feeds.last_failure() < outage_memory;
-        targets.remove(object.name, outage ? now + lapse_grace : now);
+            feeds.last_failure() != time_point{} && now - feeds.last_failure() < outage_window;
+        targets.remove(object.name, outage ? now + expiry_grace : now);
         replicas_changed();
         return;
     }
-    const auto decoded = foreign.to_replica(object);
+    const auto decoded = schema.decode_replica(object);
     if (!ok(decoded)) {
         // Another writer's entry names no replica to use; the others hold.
-        log_unreadable(foreign.replicas, object.name, failure(decoded));
+        log_unreadable(schema.replicas, object.name, failure(decoded));
         targets.remove(object.name, steady::now());
         replicas_changed();
         return;
@@ -154,14 +154,14 @@
     replicas_changed();
 }
 
-void gateway::state::take_configuration(const object_change& change)
+void gateway::state::on_configuration(const object_change& change)
 {
-    if (change.removed || change.object.name != foreign.current_configuration) {
+    if (change.removed || change.object.name != schema.current_configuration) {
         return;
     }
-    auto decoded = foreign.to_configuration(change.object);
+    auto decoded = schema.decode_configuration(change.object);
     if (!ok(decoded)) {
-        log_unreadable(foreign.configurations, change.object.name, failure(decoded));
+        log_unreadable(schema.configurations, change.object.name, failure(decoded));
         return;
     }
     if (value(decoded).version <= current.version) {
@@ -175,20 +175,20 @@
     replicas_changed();
 }
 
-void gateway::state::take_version(const object_change& change)
+void gateway::state::on_version(const object_change& change)
 {
     if (change.removed) {
         return;
     }
-    const auto decoded = foreign.to_version(change.object);
+    const auto decoded = schema.decode_version(change.object);
     if (!ok(decoded)) {
-        log_unreadable(foreign.versions, change.object.name, failure(decoded));
+        log_unreadable(schema.versions, change.object.name, failure(decoded));
         return;
     }
     weights.name_version(value(decoded).model, value(decoded).version);
 }
 
-void gateway::state::take_header(const object_change& change)
+void gateway::state::on_batch(const object_change& change)
 {
     if (change.removed) {
         return;
@@ -203,10 +203,10 @@
 
 // Nothing that must last stands on a VM: batches and their results are in the store. So a VM that is to be
 // emptied is empty at once.
-void gateway::state::take_retirement(const object_change& change)
+void gateway::state::on_retirement(const object_change& change)
 {
     if (!change.removed && change.object.name == fleet.self() &&
-        change.object.status != foreign.retirement_done) {
+        change.object.status != schema.retirement_done) {
         net::start(loop, mark_retired(change.object.name));
     }
 }
@@ -214,13 +214,13 @@
 net::task<void> gateway::state::mark_retired(std::string vm)
 {
     while (true) {
-        const auto marked = co_await relay.set_status(foreign.retirements, vm, foreign.retirement_done);
+        const auto marked = co_await relay.set_status(schema.retirements, vm, schema.retirement_done);
         if (ok(marked) || failure(marked).code != error_code::unavailable) {
             observe::log(observe::log_level::info, "retired",
                          {{"vm", vm}, {"outcome", ok(marked) ? "done" : describe(failure(marked))}});
             co_return;
         }
-        co_await net::sleep_for(loop, register_retry);
+        co_await net::sleep_for(loop, register_retry_delay);
     }
 }
 
@@ -242,7 +242,7 @@
     co_return ok(written);
 }
 
-net::task<void> gateway::state::learn_members()
+net::task<void> gateway::state::list_members()
 {
     const auto listed = co_await relay.list(member_kind, {});
     if (!ok(listed)) {
@@ -252,64 +252,64 @@
     registered.emplace();
     for (const auto& object : value(listed).objects) {
         registered->push_back(object.name);
-        const auto address = text_or_empty(object.value, "peer");
+        const auto address = string_or_empty(object.value, "peer");
         if (object.name != fleet.self() && !address.empty()) {
             addresses.push_back(address);
         }
     }
-    fleet.learn_peers(std::move(addresses));
+    fleet.add_peers(std::move(addresses));
 }
 
 // The seeds of the settings may all be gone when a VM starts; the store names who was there. Of VMs that
 // start at the same moment each reads the names after it has written its own, so the later of any two finds
 // the other; read before, all of them may find nobody and stay apart for good.
-net::task<void> gateway::state::meet_the_others()
+net::task<void> gateway::state::discover_members()
 {
     while (!co_await register_member()) {
-        co_await net::sleep_for(loop, register_retry);
+        co_await net::sleep_for(loop, register_retry_delay);
     }
-    co_await learn_members();
-    auto pause = alone_pause_least;
+    co_await list_members();
+    auto delay = min_discovery_delay;
     while (true) {
-        co_await net::sleep_for(loop, pause);
+        co_await net::sleep_for(loop, delay);
         const bool alone = fleet.peers().size() <= 1;
-        pause = alone ? std::min(pause * 2, alone_pause_most) : alone_pause_least;
+        delay = alone ? std::min(delay * 2, max_discovery_delay) : min_discovery_delay;
         if (alone) {
-            co_await learn_members();
+            co_await list_members();
         }
     }
 }
 
 // VMs that were replaced stay registered; where there are such, the time since the start decides.
-bool gateway::state::knows_all_registered() const
+bool gateway::state::sees_all_registered() const
 {
     const auto living = fleet.peers();
-    const auto met = [&](const std::string& vm) {
+    const auto is_alive = [&](const std::string& vm) {
         return std::any_of(living.begin(), living.end(),
                            [&](const gateway_peer& peer) { return peer.vm == vm; });
     };
-    return registered && std::all_of(registered->begin(), registered->end(), met);
+    return registered && std::all_of(registered->begin(), registered->end(), is_alive);
 }
 
 bool gateway::state::ready() const
 {
-    return !draining && current.version > 0 && replicas.known();
+    return !draining && current.version > 0 && replicas.synced();
 }
 
-net::task<void> gateway::state::keep_house()
+net::task<void> gateway::state::run_housekeeping()
 {
     while (true) {
-        if (knows_all_registered()) {
+        if (sees_all_registered()) {
             runner.take_view_as_whole();
         }
         const auto generation = targets.generation();
-        targets.expire(steady::now());
+        targets.remove_expired(steady::now());
         if (targets.generation() != generation) {
             replicas_changed();
         }
         fleet.set_front_open(serves_callers() && ready() && !fleet.isolated());
         runner.review();
-        co_await net::sleep_for(loop, housekeeping_every);
+        co_await net::sleep_for(loop, housekeeping_interval);
     }
 }
 
@@ -332,8 +332,8 @@
 }
 
 gateway::gateway(wire::event_loop& loop, const config::settings& settings, object_store& store,
-                 const target_protocol& protocol, foreign_objects foreign)
-    : state_(std::make_unique<state>(loop, settings, store, protocol, std::move(foreign)))
+                 const target_protocol& protocol, store_schema schema)
+    : state_(std::make_unique<state>(loop, settings, store, protocol, std::move(schema)))
 {
 }
 
@@ -353,8 +353,8 @@
     }
     held.event_loop.post([this] {
         auto& all = *state_;
-        net::start(all.loop, all.meet_the_others());
-        net::start(all.loop, all.keep_house());
+        net::start(all.loop, all.discover_members());
+        net::start(all.loop, all.run_housekeeping());
         all.feeds.start();
         if (all.serves_callers()) {
             all.weights.start();
@@ -369,7 +369,7 @@
     const bool same_addresses = known.gateway.front_listen == changed.gateway.front_listen &&
                                 known.gateway.relay_listen == changed.gateway.relay_listen;
     if (std::exchange(known.platform, changed.platform) != changed.platform) {
-        state_->feeds.start_over();
+        state_->feeds.restart_watches();
     }
     known.gateway.advice_time = changed.gateway.advice_time;
     known.gateway.stop_grace = changed.gateway.stop_grace;
@@ -382,7 +382,7 @@
 void gateway::drain(std::shared_ptr<const policy::stop_plan> plan)
 {
     state_->draining = true;
-    state_->forwarding.stop_by(std::move(plan));
+    state_->forwarding.set_stop_plan(std::move(plan));
     state_->fleet.set_draining();
     state_->runner.stop_taking();
 }
@@ -403,7 +403,7 @@
     return state_->forwarding.forward(std::move(chosen), std::move(request), answer);
 }
 
-const configuration& gateway::current() const
+const configuration& gateway::current_configuration() const
 {
     return state_->current;
 }
@@ -418,12 +418,12 @@
     return state_->runner.running();
 }
 
-advice gateway::addresses() const
+gateway_addresses gateway::addresses() const
 {
-    advice found;
-    found.keep_for = state_->settings.gateway.advice_time;
+    gateway_addresses found;
+    found.cache_time = state_->settings.gateway.advice_time;
     for (const auto& peer : state_->fleet.peers()) {
-        if (!peer.front_address.empty() && !peer.draining && found.front_addresses.size() < most_addresses) {
+        if (!peer.front_address.empty() && !peer.draining && found.front_addresses.size() < max_addresses) {
             found.front_addresses.push_back(peer.front_address);
         }
     }
@@ -439,7 +439,7 @@
 {
     const auto& held = *state_;
     for (const auto* content :
-         {&held.configurations, &held.replicas, &held.versions, &held.headers, &held.retirements}) {
+         {&held.configurations, &held.replicas, &held.versions, &held.batch_headers, &held.retirements}) {
         state_->counts.set("feed_objects{kind=\"" + content->kind() + "\"}",
                            static_cast<double>(content->objects().size()));
     }
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -23,35 +23,35 @@
 namespace vanillagauge::gateway {
 
 /// A model's version of weights, as a trainer named it.
-struct named_version {
+struct model_version {
     std::string model;
     std::uint64_t version = 0;
 };
 
 /// Where the operator's, the replicas' and the trainers' objects stand in the store, and how they are read.
-struct foreign_objects {
+struct store_schema {
     std::string replicas; ///< kinds of objects
     std::string configurations;
     std::string versions;
     std::string retirements;
     std::string current_configuration; ///< the name of the one that counts
-    std::function<result<replica>(const stored_object&)> to_replica;
-    std::function<result<configuration>(const stored_object&)> to_configuration;
-    std::function<result<named_version>(const stored_object&)> to_version;
+    std::function<result<replica>(const stored_object&)> decode_replica;
+    std::function<result<configuration>(const stored_object&)> decode_configuration;
+    std::function<result<model_version>(const stored_object&)> decode_version;
     nlohmann::json retirement_done; ///< the status of a VM that holds nothing any more
 };
 
 /// A gateway that callers can be sent to.
-struct advice {
+struct gateway_addresses {
     std::vector<std::string> front_addresses;
-    milliseconds keep_for{0};
+    milliseconds cache_time{0};
 };
 
 class gateway {
 public:
     /// All must outlive it.
     gateway(wire::event_loop& loop, const config::settings& settings, object_store& store,
-            const target_protocol& protocol, foreign_objects foreign);
+            const target_protocol& protocol, store_schema schema);
     ~gateway();
     gateway(const gateway&) = delete;
     gateway& operator=(const gateway&) = delete;
@@ -72,12 +72,12 @@
 
     // Queries.
     /// Version 0 while none is known.
-    const configuration& current() const;
+    const configuration& current_configuration() const;
     bool ready() const;
     /// Batches that run here.
     std::size_t batches_running() const;
     /// Gateways to connect to; empty where none can serve.
-    advice addresses() const;
+    gateway_addresses addresses() const;
     batch_service& batches();
     std::string metrics_page() const;
 
--- a/src/gateway/internal/batch_run.hpp
+++ b/src/gateway/internal/batch_run.hpp
@@ -24,9 +24,9 @@
 
     batch_progress progress;
     net::signal changed;
-    std::map<std::size_t, std::shared_ptr<stream>> streams;            ///< by the item's place
-    std::map<std::size_t, std::shared_ptr<call_ticket>> scoring_calls; ///< by the item's place
-    bool accepted = true;                                              ///< the store has the batch
+    std::map<std::size_t, std::shared_ptr<stream>> streams;                   ///< by the item's place
+    std::map<std::size_t, std::shared_ptr<cancellation_token>> scoring_calls; ///< by the item's place
+    bool accepted = true;                                                     ///< the store has the batch
     bool ended = false;
     bool listing = false;
     time_point last_listing{};
--- a/src/gateway/internal/forwarded_call.hpp
+++ b/src/gateway/internal/forwarded_call.hpp
@@ -14,24 +14,24 @@
     const caller_request& request;
     net::responder* answer; ///< null: a call of the gateway's own
     time_point deadline;
-    observe::span hop;                        ///< the request's way through this gateway
+    observe::span span;                       ///< the request's way through this gateway
     observe::trace_context attempt_context{}; ///< of the attempt in flight
     std::string replica{};                    ///< of the attempt in flight
-    time_point sent{};                        ///< when it was sent there
+    time_point sent_at{};                     ///< when it was sent there
     std::string service{};
     policy::work work{};
     std::uint64_t fingerprint = 0;
     int attempts = 0;
     int internal_errors = 0; ///< replicas that answered 500
-    bool gone = false;
-    bool begun = false; ///< the head of a stream has gone to the client
+    bool client_gone = false;
+    bool response_started = false; ///< the head of a stream has gone to the client
     std::optional<std::uint64_t> last_event{};
     std::shared_ptr<net::http_connection> connection{}; ///< of the attempt in flight
 
-    bool own() const { return answer == nullptr; }
+    bool internal() const { return answer == nullptr; }
     bool repeatable() const
     {
-        return own() || chosen.kind == route_kind::idempotent ||
+        return internal() || chosen.kind == route_kind::idempotent ||
                (chosen.kind == route_kind::stream && chosen.resumable);
     }
 };
--- a/src/gateway/internal/sync_messages.cpp
+++ b/src/gateway/internal/sync_messages.cpp
@@ -10,98 +10,99 @@
 
 namespace {
 
-constexpr std::int64_t longest_wait_ms = 60LL * 1000;
+constexpr std::int64_t max_wait_ms = 60LL * 1000;
 /// No gateway remembers a failure or a crash for longer; one that says so is none.
-constexpr std::int64_t longest_memory_ms = 24LL * 3600 * 1000;
+constexpr std::int64_t max_record_age_ms = 24LL * 3600 * 1000;
 
-milliseconds bounded(const json& text, std::int64_t most_ms)
+milliseconds bounded(const json& document, std::int64_t max_ms)
 {
-    return milliseconds{std::clamp<std::int64_t>(text.get<std::int64_t>(), 0, most_ms)};
+    return milliseconds{std::clamp<std::int64_t>(document.get<std::int64_t>(), 0, max_ms)};
 }
 
-json to_json(const policy::crash_news& news)
+json to_json(const policy::crash_news& update)
 {
-    json text;
-    text["as_of"] = news.as_of;
-    for (const auto& suspect : news.suspects) {
-        text["suspects"].push_back({{"request", suspect.fingerprint},
-                                    {"targets", suspect.targets},
-                                    {"left_ms", suspect.left.count()}});
+    json document;
+    document["as_of"] = update.as_of;
+    for (const auto& suspect : update.suspects) {
+        document["suspects"].push_back({{"request", suspect.fingerprint},
+                                        {"targets", suspect.targets},
+                                        {"left_ms", suspect.left.count()}});
     }
-    if (!news.cleared.empty()) {
-        text["cleared"] = news.cleared;
+    if (!update.cleared.empty()) {
+        document["cleared"] = update.cleared;
     }
-    return text;
+    return document;
 }
 
-policy::crash_news crashes_from_json(const json& text)
+policy::crash_news crashes_from_json(const json& document)
 {
-    policy::crash_news news;
-    news.as_of = text.at("as_of").get<std::uint64_t>();
-    for (const auto& suspect : member_or_null(text, "suspects")) {
-        news.suspects.push_back({suspect.at("request").get<std::uint64_t>(),
-                                 suspect.at("targets").get<std::set<std::uint64_t>>(),
-                                 bounded(suspect.at("left_ms"), longest_memory_ms)});
+    policy::crash_news update;
+    update.as_of = document.at("as_of").get<std::uint64_t>();
+    for (const auto& suspect : member_or_null(document, "suspects")) {
+        update.suspects.push_back({suspect.at("request").get<std::uint64_t>(),
+                                   suspect.at("targets").get<std::set<std::uint64_t>>(),
+                                   bounded(suspect.at("left_ms"), max_record_age_ms)});
     }
-    news.cleared = text.value("cleared", std::vector<std::uint64_t>{});
-    return news;
+    update.cleared = document.value("cleared", std::vector<std::uint64_t>{});
+    return update;
 }
 
 } // namespace
 
-json to_json(const news_question& question)
+json to_json(const sync_request& request)
 {
-    return {{"wait_ms", question.wait.count()},
-            {"since", question.since},
-            {"crashes", to_json(question.crashes)},
-            {"crashes_since", question.crashes_since}};
+    return {{"wait_ms", request.wait.count()},
+            {"since", request.since},
+            {"crashes", to_json(request.crashes)},
+            {"crashes_since", request.crashes_since}};
 }
 
-result<news_question> question_from_json(const json& text)
+result<sync_request> sync_request_from_json(const json& document)
 {
     error malformed{error_code::invalid_argument, run_state::not_run,
                     "expected a gateway's question for news"};
-    return decoded<news_question>(text, std::move(malformed), [](const json& from) {
-        return news_question{bounded(from.at("wait_ms"), longest_wait_ms),
-                             from.at("since").get<std::map<std::string, std::uint64_t>>(),
-                             crashes_from_json(from.at("crashes")),
-                             from.at("crashes_since").get<std::uint64_t>()};
+    return decode<sync_request>(document, std::move(malformed), [](const json& from) {
+        return sync_request{bounded(from.at("wait_ms"), max_wait_ms),
+                            from.at("since").get<std::map<std::string, std::uint64_t>>(),
+                            crashes_from_json(from.at("crashes")),
+                            from.at("crashes_since").get<std::uint64_t>()};
     });
 }
 
-json to_json(const news_answer& answer)
+json to_json(const sync_response& response)
 {
-    json text;
-    text["serves"] = answer.serves;
-    if (answer.failed_ago) {
-        text["failed_ms_ago"] = answer.failed_ago->count();
+    json document;
+    document["serves"] = response.store_reachable;
+    if (response.failure_age) {
+        document["failed_ms_ago"] = response.failure_age->count();
     }
-    for (const auto& [kind, news] : answer.by_kind) {
-        text["feeds"][kind] = to_json(news);
+    for (const auto& [kind, update] : response.feeds) {
+        document["feeds"][kind] = to_json(update);
     }
-    text["crashes"] = to_json(answer.crashes);
-    return text;
+    document["crashes"] = to_json(response.crashes);
+    return document;
 }
 
-result<news_answer> answer_from_json(const json& text)
+result<sync_response> sync_response_from_json(const json& document)
 {
     error malformed{error_code::unavailable, run_state::in_doubt, "expected a gateway's news"};
-    return decoded<news_answer>(text, std::move(malformed), [](const json& from) -> result<news_answer> {
-        news_answer answer;
-        answer.serves = from.at("serves").get<bool>();
-        if (const auto failed = from.find("failed_ms_ago"); failed != from.end()) {
-            answer.failed_ago = bounded(*failed, longest_memory_ms);
-        }
-        for (const auto& [kind, told] : member_or_null(from, "feeds").items()) {
-            auto news = feed_news_from_json(told);
-            if (!ok(news)) {
-                return failure(news);
+    return decode<sync_response>(
+        document, std::move(malformed), [](const json& from) -> result<sync_response> {
+            sync_response response;
+            response.store_reachable = from.at("serves").get<bool>();
+            if (const auto failed = from.find("failed_ms_ago"); failed != from.end()) {
+                response.failure_age = bounded(*failed, max_record_age_ms);
             }
-            answer.by_kind[kind] = std::move(value(news));
-        }
-        answer.crashes = crashes_from_json(from.at("crashes"));
-        return answer;
-    });
+            for (const auto& [kind, content] : member_or_null(from, "feeds").items()) {
+                auto update = feed_update_from_json(content);
+                if (!ok(update)) {
+                    return failure(update);
+                }
+                response.feeds[kind] = std::move(value(update));
+            }
+            response.crashes = crashes_from_json(from.at("crashes"));
+            return response;
+        });
 }
 
 } // namespace vanillagauge::gateway::internal
--- a/src/gateway/internal/sync_messages.hpp
+++ b/src/gateway/internal/sync_messages.hpp
@@ -12,25 +12,25 @@
 namespace vanillagauge::gateway::internal {
 
 /// What a gateway asks of one that watches, and what it tells it.
-struct news_question {
+struct sync_request {
     milliseconds wait{0};                       ///< for news, where there is none; at most a minute
     std::map<std::string, std::uint64_t> since; ///< by kind, the revision that the asker knows
     policy::crash_news crashes{};               ///< since the asker last told this gateway
     std::uint64_t crashes_since = 0;            ///< what the asker has heard of this gateway's crashes
 };
 
-struct news_answer {
-    bool serves = false;                      ///< the store serves the gateway that answers
-    std::optional<milliseconds> failed_ago{}; ///< since the store was last found not to serve it
-    std::map<std::string, feed_news> by_kind{};
+struct sync_response {
+    bool store_reachable = false;              ///< the store serves the gateway that answers
+    std::optional<milliseconds> failure_age{}; ///< since the store was last found not to serve it
+    std::map<std::string, feed_update> feeds{};
     policy::crash_news crashes{};
 };
 
-nlohmann::json to_json(const news_question& question);
-nlohmann::json to_json(const news_answer& answer);
+nlohmann::json to_json(const sync_request& request);
+nlohmann::json to_json(const sync_response& response);
 /// Errors say what was expected: `invalid_argument` for a question, `unavailable` for an answer.
-result<news_question> question_from_json(const nlohmann::json& text);
-result<news_answer> answer_from_json(const nlohmann::json& text);
+result<sync_request> sync_request_from_json(const nlohmann::json& document);
+result<sync_response> sync_response_from_json(const nlohmann::json& document);
 
 } // namespace vanillagauge::gateway::internal
 
--- a/src/gateway/item_scorer.cpp
+++ b/src/gateway/item_scorer.cpp
@@ -31,7 +31,7 @@
 }
 
 net::task<scoring_outcome> item_scorer::score(scoring_call call, policy::priority urgency,
-                                              std::shared_ptr<call_ticket> ticket)
+                                              std::shared_ptr<cancellation_token> ticket)
 {
     scoring_outcome outcome{no_score("no route leads to the scoring call")};
     const auto* found = find_route(current_(), call.host, net::path_of(call.path));
@@ -48,9 +48,9 @@
     request.http.body = ok(body) ? std::move(value(body)) : std::string{};
     request.host = call.host;
     request.attempt_id = call.id;
-    request.time_allowed = longest_call;
-    request.arrived = steady::now();
-    const auto told = co_await calls_.make_call(chosen, std::move(request), urgency, ticket);
+    request.timeout = longest_call;
+    request.arrived_at = steady::now();
+    const auto told = co_await calls_.make_internal_call(chosen, std::move(request), urgency, ticket);
     outcome.internal_errors = told.internal_errors;
     outcome.most_internal_errors = chosen.attempts;
     if (!ok(told.response)) {
@@ -58,7 +58,7 @@
         co_return outcome;
     }
     const auto& response = value(told.response);
-    const auto marks = protocol_.marks(response.status, response.fields, call.id);
+    const auto marks = protocol_.parse_metadata(response.status, response.fields, call.id);
     if (response.status >= 200 && response.status < 300 && !marks.authentication_code.empty()) {
         outcome.score = marks.authentication_code;
     }
--- a/src/gateway/item_scorer.hpp
+++ b/src/gateway/item_scorer.hpp
@@ -32,7 +32,7 @@
 
     /// One call through the route of its host and path, at several replicas where the route allows it.
     net::task<scoring_outcome> score(scoring_call call, policy::priority urgency,
-                                     std::shared_ptr<call_ticket> ticket);
+                                     std::shared_ptr<cancellation_token> ticket);
 
 private:
     forwarder& calls_;
--- a/src/gateway/object_store.cpp
+++ b/src/gateway/object_store.cpp
@@ -12,10 +12,10 @@
             {"status", object.status}};
 }
 
-stored_object object_from_json(const json& text)
+stored_object object_from_json(const json& document)
 {
-    return {text.at("name").get<std::string>(), text.at("revision").get<std::uint64_t>(), text.at("value"),
-            text.at("status")};
+    return {document.at("name").get<std::string>(), document.at("revision").get<std::uint64_t>(),
+            document.at("value"), document.at("status")};
 }
 
 } // namespace vanillagauge::gateway
--- a/src/gateway/object_store.hpp
+++ b/src/gateway/object_store.hpp
@@ -37,7 +37,7 @@
 
 /// Between stored objects and the JSON in which gateways exchange them.
 nlohmann::json to_json(const stored_object& object);
-stored_object object_from_json(const nlohmann::json& text);
+stored_object object_from_json(const nlohmann::json& document);
 
 /// Errors of all calls: `unavailable` with `not_run` says that nothing was done, `unavailable` with
 /// `in_doubt` that a write may have been done or may be done later; `stale_cursor` that the history asked for
@@ -54,7 +54,7 @@
     /// Objects whose names come after `after`.
     virtual net::task_of<object_listing> list(std::string kind, std::string after) = 0;
     /// Whether the store answers at all: the cheapest call there is, and what it reads may be old.
-    virtual net::task_of<done> check(std::string kind, milliseconds within) = 0;
+    virtual net::task_of<done> ping(std::string kind, milliseconds within) = 0;
     /// Waits at most `wait` for a change behind the revision.
     virtual net::task_of<object_changes> watch(std::string kind, std::uint64_t since, milliseconds wait) = 0;
     /// `conflict` where the name is taken; the error's `current` holds the value that stands there, as JSON.
--- a/src/gateway/peer_relay.cpp
+++ b/src/gateway/peer_relay.cpp
@@ -12,14 +12,14 @@
 namespace {
 
 /// A slow store still answers within it, also through a peer.
-constexpr milliseconds call_time{3000};
-constexpr milliseconds relay_time{1500};
+constexpr milliseconds call_timeout{3000};
+constexpr milliseconds relay_timeout{1500};
 
 /// How long peers are asked first after the direct way failed: each try that is refused costs a call.
-constexpr milliseconds direct_retry_every{1000};
+constexpr milliseconds direct_retry_interval{1000};
 
-constexpr std::size_t most_relays = 2;
-constexpr std::size_t largest_answer = 4U << 20U;
+constexpr std::size_t max_relays = 2;
+constexpr std::size_t max_response_bytes = 4U << 20U;
 constexpr milliseconds idle_time{15000};
 
 error unavailable(run_state ran, std::string detail)
@@ -27,7 +27,7 @@
     return {error_code::unavailable, ran, std::move(detail)};
 }
 
-bool store_is_away(const result<store_answer>& outcome)
+bool store_unavailable(const result<store_answer>& outcome)
 {
     return !ok(outcome) && failure(outcome).code == error_code::unavailable;
 }
@@ -39,7 +39,7 @@
 {
 }
 
-void peer_relay::note_direct(const error* failed)
+void peer_relay::record_direct_result(const error* failed)
 {
     const bool works = failed == nullptr || failed->code != error_code::unavailable;
     if (works && direct_failed_) {
@@ -49,10 +49,10 @@
         observe::log(observe::log_level::warning, "store_lost", {{"why", describe(*failed)}});
     }
     direct_failed_ = !works;
-    direct_retry_ = steady::now() + direct_retry_every;
+    direct_retry_ = steady::now() + direct_retry_interval;
 }
 
-std::vector<std::string> peer_relay::relays() const
+std::vector<std::string> peer_relay::relay_candidates() const
 {
     std::vector<std::string> addresses;
     for (const auto& peer : fleet_.peers()) {
@@ -66,13 +66,13 @@
     if (good != addresses.end()) {
         std::iter_swap(addresses.begin(), good);
     }
-    if (addresses.size() > most_relays) {
-        addresses.resize(most_relays);
+    if (addresses.size() > max_relays) {
+        addresses.resize(max_relays);
     }
     return addresses;
 }
 
-net::task_of<json> peer_relay::ask(std::string address, std::string path, json question, time_point until)
+net::task_of<json> peer_relay::call_peer(std::string address, std::string path, json body, time_point until)
 {
     auto& pool = pools_[address];
     if (!pool) {
@@ -87,8 +87,8 @@
     request.method = "POST";
     request.target = std::move(path);
     request.fields.add("Host", address);
-    request.body = question.dump();
-    auto answer = co_await net::exchange(*connection, request, largest_answer, until);
+    request.body = body.dump();
+    auto answer = co_await net::exchange(*connection, request, max_response_bytes, until);
     if (const auto* failure = std::get_if<net::http_failure>(&answer)) {
         co_return unavailable(run_state::in_doubt, failure->detail);
     }
@@ -120,23 +120,23 @@
 net::task_of<store_answer> peer_relay::call_directly(store_call wanted)
 {
     auto outcome = co_await run(direct_, std::move(wanted));
-    note_direct(std::get_if<error>(&outcome));
+    record_direct_result(std::get_if<error>(&outcome));
     co_return outcome;
 }
 
 net::task_of<store_answer> peer_relay::call_peers(const store_call& wanted, time_point until)
 {
     result<store_answer> last = unavailable(run_state::not_run, "no gateway reaches the store");
-    for (const auto& address : relays()) {
+    for (const auto& address : relay_candidates()) {
         const auto now = steady::now();
         if (now >= until) {
             break;
         }
-        auto question = to_json(wanted);
+        auto body = to_json(wanted);
         const auto answer =
-            co_await ask(address, "/relay", std::move(question), std::min(until, now + relay_time));
+            co_await call_peer(address, "/relay", std::move(body), std::min(until, now + relay_timeout));
         last = ok(answer) ? store_answer_from_json(wanted.operation, value(answer)) : failure(answer);
-        if (!store_is_away(last)) {
+        if (!store_unavailable(last)) {
             last_good_ = address;
             co_return last;
         }
@@ -149,24 +149,24 @@
 // that name the revision they replace. A first try that is done late finds its condition gone.
 net::task_of<store_answer> peer_relay::call(store_call wanted)
 {
-    const auto until = steady::now() + call_time;
+    const auto until = steady::now() + call_timeout;
     const bool peers_first = direct_failed_ && steady::now() < direct_retry_;
     auto doubt = run_state::not_run;
     if (peers_first) {
         auto outcome = co_await call_peers(wanted, until);
-        if (!store_is_away(outcome)) {
+        if (!store_unavailable(outcome)) {
             co_return outcome;
         }
         doubt = failure(outcome).ran;
     }
     auto outcome = co_await call_directly(wanted);
-    if (!store_is_away(outcome)) {
+    if (!store_unavailable(outcome)) {
         co_return outcome;
     }
     doubt = std::max(doubt, failure(outcome).ran);
     if (!peers_first) {
         outcome = co_await call_peers(wanted, until);
-        if (!store_is_away(outcome)) {
+        if (!store_unavailable(outcome)) {
             co_return outcome;
         }
         doubt = std::max(doubt, failure(outcome).ran);
@@ -200,15 +200,15 @@
     co_return std::get<object_listing>(std::move(value(outcome)));
 }
 
-net::task_of<done> peer_relay::check(std::string kind, milliseconds within)
+net::task_of<done> peer_relay::ping(std::string kind, milliseconds within)
 {
-    return direct_.check(std::move(kind), within);
+    return direct_.ping(std::move(kind), within);
 }
 
 net::task_of<object_changes> peer_relay::watch(std::string kind, std::uint64_t since, milliseconds wait)
 {
     auto outcome = co_await direct_.watch(std::move(kind), since, wait);
-    note_direct(std::get_if<error>(&outcome));
+    record_direct_result(std::get_if<error>(&outcome));
     co_return outcome;
 }
 
--- a/src/gateway/peer_relay.hpp
+++ b/src/gateway/peer_relay.hpp
@@ -22,7 +22,7 @@
 
     net::task_of<stored_object> read(std::string kind, std::string name) override;
     net::task_of<object_listing> list(std::string kind, std::string after) override;
-    net::task_of<done> check(std::string kind, milliseconds within) override;
+    net::task_of<done> ping(std::string kind, milliseconds within) override;
     net::task_of<object_changes> watch(std::string kind, std::uint64_t since, milliseconds wait) override;
     net::task_of<stored_object> create(std::string kind, std::string name, nlohmann::json value) override;
     net::task_of<stored_object> replace(std::string kind, std::string name, nlohmann::json value,
@@ -33,8 +33,8 @@
     /// Answers a call that a peer could not make itself; only directly, so that no call goes in circles.
     net::task<net::http_response> serve(const net::http_request& request);
     /// One call to a peer; any failure is `unavailable`.
-    net::task_of<nlohmann::json> ask(std::string address, std::string path, nlohmann::json question,
-                                     time_point until);
+    net::task_of<nlohmann::json> call_peer(std::string address, std::string path, nlohmann::json body,
+                                           time_point until);
     /// The direct way has failed lately and was not seen to work since.
     bool direct_fails() const { return direct_failed_; }
 
@@ -51,8 +51,8 @@
     net::task_of<stored_object> call_object(store_call wanted);
     net::task_of<store_answer> call_directly(store_call wanted);
     net::task_of<store_answer> call_peers(const store_call& wanted, time_point until);
-    std::vector<std::string> relays() const;
-    void note_direct(const error* failed);
+    std::vector<std::string> relay_candidates() const;
+    void record_direct_result(const error* failed);
 };
 
 } // namespace vanillagauge::gateway
--- a/src/gateway/replica.hpp
+++ b/src/gateway/replica.hpp
@@ -12,7 +12,7 @@
 
 struct replica {
     std::string id;
-    std::uint64_t born_unix_ms = 0; ///< start of this lifetime: an id may start again; 0: not told
+    std::uint64_t started_unix_ms = 0; ///< start of this lifetime: an id may start again; 0: not told
     std::string service;
     std::string address;
     std::string failure_domain;
@@ -21,7 +21,7 @@
     std::map<std::string, std::uint64_t> weights; ///< version by model
 
     /// Names one lifetime; a replica that started again under its id is another one.
-    std::string lifetime() const { return id + "@" + std::to_string(born_unix_ms); }
+    std::string instance_id() const { return id + "@" + std::to_string(started_unix_ms); }
 
     friend bool operator==(const replica&, const replica&) = default;
 };
--- a/src/gateway/store_call.cpp
+++ b/src/gateway/store_call.cpp
@@ -19,12 +19,12 @@
      {store_operation::replace, "replace"},
      {store_operation::set_status, "status"}}};
 
-error not_a_call()
+error malformed_call()
 {
     return {error_code::invalid_argument, run_state::not_run, "expected a call to the store"};
 }
 
-error not_an_answer()
+error malformed_answer()
 {
     return {error_code::unavailable, run_state::in_doubt, "expected a gateway's answer"};
 }
@@ -49,14 +49,14 @@
             {"current", failure.current}};
 }
 
-error error_from_json(const json& text)
+error error_from_json(const json& document)
 {
-    return {parse_error_code(text.at("code").get<std::string>()),
-            parse_run_state(text.at("ran").get<std::string>()),
-            text.at("detail").get<std::string>(),
+    return {parse_error_code(document.at("code").get<std::string>()),
+            parse_run_state(document.at("ran").get<std::string>()),
+            document.at("detail").get<std::string>(),
             milliseconds{0},
             {},
-            text.at("current").get<std::string>()};
+            document.at("current").get<std::string>()};
 }
 
 json to_json(const object_listing& listing)
@@ -68,14 +68,14 @@
     return {{"objects", std::move(objects)}, {"more", listing.more}, {"as_of", listing.as_of}};
 }
 
-object_listing listing_from_json(const json& text)
+object_listing listing_from_json(const json& document)
 {
     object_listing listing;
-    for (const auto& object : text.at("objects")) {
+    for (const auto& object : document.at("objects")) {
         listing.objects.push_back(object_from_json(object));
     }
-    listing.more = text.at("more").get<bool>();
-    listing.as_of = text.at("as_of").get<std::uint64_t>();
+    listing.more = document.at("more").get<bool>();
+    listing.as_of = document.at("as_of").get<std::uint64_t>();
     return listing;
 }
 
@@ -119,24 +119,24 @@
 
 json to_json(const store_call& call)
 {
-    json text{{"op", std::string(name_of(call.operation))}, {"kind", call.kind}, {"name", call.name}};
+    json document{{"op", std::string(name_of(call.operation))}, {"kind", call.kind}, {"name", call.name}};
     if (writes(call.operation)) {
-        text["value"] = call.value;
+        document["value"] = call.value;
     }
     if (call.operation == store_operation::replace) {
-        text["revision"] = call.revision;
+        document["revision"] = call.revision;
     }
-    return text;
+    return document;
 }
 
-result<store_call> store_call_from_json(const json& text)
+result<store_call> store_call_from_json(const json& document)
 {
-    return decoded<store_call>(text, not_a_call(), [](const json& from) -> result<store_call> {
+    return decode<store_call>(document, malformed_call(), [](const json& from) -> result<store_call> {
         const auto operation = from.at("op").get<std::string>();
         const auto known = std::find_if(operation_names.begin(), operation_names.end(),
                                         [&](const auto& entry) { return entry.second == operation; });
         if (known == operation_names.end()) {
-            return not_a_call();
+            return malformed_call();
         }
         store_call call;
         call.operation = known->first;
@@ -154,28 +154,29 @@
 
 json to_json(const result<store_answer>& outcome)
 {
-    json text;
+    json document;
     if (ok(outcome)) {
-        text["done"] = std::visit([](const auto& answer) { return to_json(answer); }, value(outcome));
+        document["done"] = std::visit([](const auto& answer) { return to_json(answer); }, value(outcome));
     }
     else {
-        text["failed"] = to_json(failure(outcome));
+        document["failed"] = to_json(failure(outcome));
     }
-    return text;
+    return document;
 }
 
-result<store_answer> store_answer_from_json(store_operation asked, const json& text)
+result<store_answer> store_answer_from_json(store_operation operation, const json& document)
 {
-    return decoded<store_answer>(text, not_an_answer(), [asked](const json& from) -> result<store_answer> {
-        if (const auto failed = from.find("failed"); failed != from.end()) {
-            return error_from_json(*failed);
-        }
-        const auto& content = from.at("done");
-        if (asked == store_operation::list) {
-            return store_answer{listing_from_json(content)};
-        }
-        return store_answer{object_from_json(content)};
-    });
+    return decode<store_answer>(document, malformed_answer(),
+                                [operation](const json& from) -> result<store_answer> {
+                                    if (const auto failed = from.find("failed"); failed != from.end()) {
+                                        return error_from_json(*failed);
+                                    }
+                                    const auto& content = from.at("done");
+                                    if (operation == store_operation::list) {
+                                        return store_answer{listing_from_json(content)};
+                                    }
+                                    return store_answer{object_from_json(content)};
+                                });
 }
 
 } // namespace vanillagauge::gateway
--- a/src/gateway/store_call.hpp
+++ b/src/gateway/store_call.hpp
@@ -29,9 +29,9 @@
 /// Between gateways. Each reader's error tells what was expected: `invalid_argument` for a call,
 /// `unavailable` and `in_doubt` for an answer, for then it is not known what the other gateway has done.
 nlohmann::json to_json(const store_call& call);
-result<store_call> store_call_from_json(const nlohmann::json& text);
+result<store_call> store_call_from_json(const nlohmann::json& document);
 nlohmann::json to_json(const result<store_answer>& outcome);
-result<store_answer> store_answer_from_json(store_operation asked, const nlohmann::json& text);
+result<store_answer> store_answer_from_json(store_operation operation, const nlohmann::json& document);
 
 } // namespace vanillagauge::gateway
 
--- a/src/gateway/target_protocol.hpp
+++ b/src/gateway/target_protocol.hpp
@@ -23,7 +23,7 @@
 };
 
 /// What the head of a replica's answer says beside status and body.
-struct answer_marks {
+struct response_metadata {
     bool not_run = false;              ///< the replica states that it did not run the request
     bool echoes_attempt = false;       ///< it carries the id that was sent
     std::string authentication_code{}; ///< the replica's; empty: it carries none
@@ -33,9 +33,9 @@
 
 /// What an engine says of itself, some hundred milliseconds late.
 struct engine_report {
-    std::uint64_t born_unix_ms = 0;
-    bool busy = false;              ///< an order is being carried out
-    std::uint64_t orders_taken = 0; ///< since its start
+    std::uint64_t started_unix_ms = 0;
+    bool busy = false;                 ///< an order is being carried out
+    std::uint64_t orders_accepted = 0; ///< since its start
     std::map<std::string, std::uint64_t> weights;
 };
 
@@ -51,7 +51,7 @@
     std::uint64_t version = 0;
     load_mode mode = load_mode::keep_running;
     std::string holder;
-    std::uint64_t fencing = 0;
+    std::uint64_t fencing_token = 0;
     std::uint64_t expected_orders = 0; ///< carried out only if the engine has taken this many
 };
 
@@ -65,9 +65,10 @@
     target_protocol& operator=(const target_protocol&) = delete;
 
     /// The request as a replica is to get it: the client's, with what concerns this attempt.
-    virtual net::http_request to_replica(net::http_request request, const attempt_request& attempt) const = 0;
-    virtual answer_marks marks(int status, const net::http_fields& fields,
-                               const std::string& attempt_id) const = 0;
+    virtual net::http_request replica_request(net::http_request request,
+                                              const attempt_request& attempt) const = 0;
+    virtual response_metadata parse_metadata(int status, const net::http_fields& fields,
+                                             const std::string& attempt_id) const = 0;
     /// The version under which an event and those behind it were made, where the event tells one.
     virtual std::optional<std::uint64_t> weights_version(const net::stream_event& event) const = 0;
 
@@ -77,7 +78,7 @@
     virtual order_outcome parse_order(const net::http_response& response) const = 0;
 
     /// The answer to a client whose request failed here.
-    virtual net::http_response to_response(const error& failure) const = 0;
+    virtual net::http_response error_response(const error& failure) const = 0;
 };
 
 } // namespace vanillagauge::gateway
--- a/src/gateway/target_registry.cpp
+++ b/src/gateway/target_registry.cpp
@@ -10,7 +10,7 @@
 void log_target(const char* event, const replica& known)
 {
     observe::log(observe::log_level::info, event,
-                 {{"replica", known.lifetime()},
+                 {{"replica", known.instance_id()},
                   {"service", known.service},
                   {"address", known.address},
                   {"draining", std::int64_t{known.draining}}});
@@ -18,7 +18,7 @@
 
 bool same_lifetime(const replica& left, const replica& right)
 {
-    return left.lifetime() == right.lifetime() && left.address == right.address &&
+    return left.instance_id() == right.instance_id() && left.address == right.address &&
            left.service == right.service;
 }
 
@@ -29,35 +29,35 @@
     const auto told = info.weights.find(model);
     const auto reported = told == info.weights.end() ? std::uint64_t{0} : told->second;
     // Its entry in the store lags behind; its own answers do not. Weights never go back within a lifetime.
-    const auto seen = seen_versions.find(model);
-    return std::max(reported, seen == seen_versions.end() ? std::uint64_t{0} : seen->second);
+    const auto seen = observed_versions.find(model);
+    return std::max(reported, seen == observed_versions.end() ? std::uint64_t{0} : seen->second);
 }
 
 // A load of weights stops the runs for a second; taken whole, that one gap would make a fast engine look slow
 // and move its runs away.
-void target::saw_gap(duration gap)
+void target::record_event_gap(duration gap)
 {
     constexpr double smoothing = 0.1;
-    constexpr double most_times = 2.5;
+    constexpr double max_ratio = 2.5;
     const std::chrono::duration<double, std::milli> measured = gap;
-    if (piece_gap_ms == 0) {
-        piece_gap_ms = measured.count();
+    if (mean_gap_ms == 0) {
+        mean_gap_ms = measured.count();
         return;
     }
-    const auto bounded = std::min(measured.count(), piece_gap_ms * most_times);
-    piece_gap_ms = piece_gap_ms * (1 - smoothing) + bounded * smoothing;
+    const auto bounded = std::min(measured.count(), mean_gap_ms * max_ratio);
+    mean_gap_ms = mean_gap_ms * (1 - smoothing) + bounded * smoothing;
 }
 
-void target::saw_version(const std::string& model, std::uint64_t version)
+void target::record_version(const std::string& model, std::uint64_t version)
 {
-    auto& newest = seen_versions[model];
+    auto& newest = observed_versions[model];
     newest = std::max(newest, version);
 }
 
 void target_registry::update(const replica& known)
 {
     ++generation_;
-    kept_until_.erase(known.id);
+    removal_times_.erase(known.id);
     const auto found = targets_.find(known.id);
     if (found != targets_.end() && same_lifetime(found->second->info, known)) {
         if (found->second->info.draining != known.draining) {
@@ -87,18 +87,18 @@
         drop(id);
         return;
     }
-    kept_until_[id] = keep_until;
+    removal_times_[id] = keep_until;
 }
 
-void target_registry::expire(time_point now)
+void target_registry::remove_expired(time_point now)
 {
-    for (auto entry = kept_until_.begin(); entry != kept_until_.end();) {
+    for (auto entry = removal_times_.begin(); entry != removal_times_.end();) {
         if (now < entry->second) {
             ++entry;
             continue;
         }
         const auto id = entry->first;
-        entry = kept_until_.erase(entry);
+        entry = removal_times_.erase(entry);
         ++generation_;
         drop(id);
     }
@@ -114,7 +114,7 @@
     found->second->usable = false;
     found->second->pool.clear();
     targets_.erase(found);
-    kept_until_.erase(id);
+    removal_times_.erase(id);
 }
 
 std::vector<target_ref> target_registry::of_service(const std::string& service) const
@@ -137,10 +137,10 @@
     return chosen;
 }
 
-target_ref target_registry::find(const std::string& lifetime) const
+target_ref target_registry::find(const std::string& instance_id) const
 {
     for (const auto& [id, entry] : targets_) {
-        if (entry->info.lifetime() == lifetime) {
+        if (entry->info.instance_id() == instance_id) {
             return entry;
         }
     }
--- a/src/gateway/untrusted_json.hpp
+++ b/src/gateway/untrusted_json.hpp
@@ -15,26 +15,26 @@
 ///
 /// An exception that leaves a task ends the program, and with it all requests under way.
 template <class Value, class Read>
-result<Value> decoded(const nlohmann::json& text, error otherwise, Read read)
+result<Value> decode(const nlohmann::json& document, error malformed, Read read)
 {
     try {
-        return read(text);
+        return read(document);
     }
     catch (const nlohmann::json::exception& why) {
-        otherwise.detail += std::string(": ") + why.what();
-        return otherwise;
+        malformed.detail += std::string(": ") + why.what();
+        return malformed;
     }
 }
 
 /// The member's text; empty where there is none, or where it is no text.
-inline std::string text_or_empty(const nlohmann::json& object, const char* member)
+inline std::string string_or_empty(const nlohmann::json& object, const char* member)
 {
     const auto found = object.is_object() ? object.find(member) : object.end();
     return found != object.end() && found->is_string() ? found->get<std::string>() : std::string{};
 }
 
 /// The member's whole number; the fallback where there is none, or where it is no such number.
-inline std::int64_t whole_or(const nlohmann::json& object, const char* member, std::int64_t fallback)
+inline std::int64_t integer_or(const nlohmann::json& object, const char* member, std::int64_t fallback)
 {
     const auto found = object.is_object() ? object.find(member) : object.end();
     return found != object.end() && found->is_number_integer() ? found->get<std::int64_t>() : fallback;
--- a/src/gateway/weights_keeper.cpp
+++ b/src/gateway/weights_keeper.cpp
@@ -57,10 +57,10 @@
 policy::stored_lease lease_from(const stored_object& stored)
 {
     policy::stored_lease lease;
-    lease.holder = text_or_empty(stored.value, "holder");
-    lease.former = text_or_empty(stored.value, "former");
+    lease.holder = string_or_empty(stored.value, "holder");
+    lease.former = string_or_empty(stored.value, "former");
     lease.version = stored.revision;
-    lease.acts_in = milliseconds{whole_or(stored.value, "acts_in_ms", unknown_wait.count())};
+    lease.acts_in = milliseconds{integer_or(stored.value, "acts_in_ms", unknown_wait.count())};
     return lease;
 }
 
@@ -149,7 +149,7 @@
     const auto peers = fleet_.peers();
     const bool holder_lives = std::any_of(peers.begin(), peers.end(),
                                           [&](const gateway_peer& peer) { return peer.vm == holder_vm; });
-    const auto ranked = fleet_.owners_of(lease_name);
+    const auto ranked = fleet_.ranked_owners(lease_name);
     const bool first = !ranked.empty() && ranked.front() == fleet_.self();
     const bool holder_went = holder_lives_ && !holder_lives;
     const bool became_first = first && !first_;
@@ -279,7 +279,7 @@
         std::vector<policy::load_engine> views;
         for (const auto& at : engines[service]) {
             policy::load_engine view;
-            view.id = at->info.lifetime();
+            view.id = at->info.instance_id();
             for (const auto& [model, version] : versions) {
                 view.versions[model] = at->version_of(model);
             }
@@ -325,7 +325,7 @@
         at->pool.give_back(connection, seconds(1));
         co_return error{error_code::conflict, run_state::not_run, "the lease has ended"};
     }
-    order.fencing = *number;
+    order.fencing_token = *number;
     const auto request = protocol_.order_request(at->info, order);
     const auto response = co_await exchange_with(at, connection, request, until);
     if (!ok(response)) {
@@ -339,7 +339,7 @@
 // that a second one cannot be carried out beside it.
 net::task<void> weights_keeper::load(target_ref at, std::string model, std::uint64_t version)
 {
-    const auto lifetime = at->info.lifetime();
+    const auto instance_id = at->info.instance_id();
     const auto began = steady::now();
     auto pause = refused_pause;
     std::string outcome = "failed";
@@ -349,7 +349,7 @@
         const auto found = value(report).weights.find(model);
         const auto has = found == value(report).weights.end() ? std::uint64_t{0} : found->second;
         if (has >= version) {
-            at->saw_version(model, has);
+            at->record_version(model, has);
             outcome = "already there";
         }
         else if (value(report).busy) {
@@ -362,14 +362,14 @@
             order.version = version;
             order.mode = single_version(at->info.service) ? load_mode::finish_first : load_mode::keep_running;
             order.holder = holder_;
-            order.expected_orders = value(report).orders_taken;
+            order.expected_orders = value(report).orders_accepted;
             const auto answer = co_await send_order(at, order);
             if (!ok(answer)) {
                 pause = failure(answer).ran == run_state::not_run ? refused_pause : unanswered_pause;
                 outcome = describe(failure(answer));
             }
             else if (value(answer) == order_outcome::already_done) {
-                at->saw_version(model, version);
+                at->record_version(model, version);
                 outcome = "already there";
             }
             else if (value(answer) == order_outcome::accepted) {
@@ -391,7 +391,8 @@
         const auto now_has = co_await ask_report(at);
         if (ok(now_has)) {
             const auto found = value(now_has).weights.find(model);
-            at->saw_version(model, found == value(now_has).weights.end() ? std::uint64_t{0} : found->second);
+            at->record_version(model,
+                               found == value(now_has).weights.end() ? std::uint64_t{0} : found->second);
         }
         if (at->version_of(model) < version) {
             co_await net::sleep_for(loop_, look_again);
@@ -399,13 +400,13 @@
     }
     observe::log(
         observe::log_level::info, "weights_ordered",
-        {{"replica", lifetime},
+        {{"replica", instance_id},
          {"model", model},
          {"version", static_cast<std::int64_t>(version)},
          {"outcome", outcome},
          {"took_ms", std::int64_t{std::chrono::duration_cast<milliseconds>(steady::now() - began).count()}}});
-    resting_until_[lifetime] = ordered ? time_point{} : steady::now() + pause;
-    loading_.erase(lifetime);
+    resting_until_[instance_id] = ordered ? time_point{} : steady::now() + pause;
+    loading_.erase(instance_id);
 }
 
 } // namespace vanillagauge::gateway
--- a/tests/adapter/protocol_tests.cpp
+++ b/tests/adapter/protocol_tests.cpp
@@ -22,7 +22,7 @@
     attempt.attempt_id = "a1";
     attempt.replica_id = "i-1";
     attempt.time_left = milliseconds(900);
-    const auto sent = replica_protocol().to_replica(request, attempt);
+    const auto sent = replica_protocol().replica_request(request, attempt);
     EXPECT_EQ(sent.target, "/p/1?x=2");
     EXPECT_EQ(sent.body, "body");
     EXPECT_EQ(sent.fields.find("Deadline-Ms"), "900");
@@ -37,32 +37,32 @@
 {
     const replica_protocol protocol;
     net::http_fields fields;
-    EXPECT_FALSE(protocol.marks(503, fields, "a").not_run);
-    EXPECT_TRUE(protocol.marks(421, fields, "a").not_run);
+    EXPECT_FALSE(protocol.parse_metadata(503, fields, "a").not_run);
+    EXPECT_TRUE(protocol.parse_metadata(421, fields, "a").not_run);
     fields.add("Not-Executed", "1");
     fields.add("Attempt-Id", "b");
     fields.add("Replica-Load", "3,1,8");
-    const auto marks = protocol.marks(503, fields, "a");
+    const auto marks = protocol.parse_metadata(503, fields, "a");
     EXPECT_TRUE(marks.not_run);
     EXPECT_FALSE(marks.echoes_attempt);
     EXPECT_EQ(marks.load->waiting, 1);
     net::http_fields odd;
     odd.add("Replica-Load", "many");
-    EXPECT_FALSE(protocol.marks(200, odd, "a").load);
+    EXPECT_FALSE(protocol.parse_metadata(200, odd, "a").load);
 }
 
 TEST(replica_protocol, promises_not_run_only_with_certainty)
 {
     const replica_protocol protocol;
     const auto status = [&protocol](error_code code, run_state ran) {
-        return protocol.to_response({code, ran, "why", milliseconds(250)}).status;
+        return protocol.error_response({code, ran, "why", milliseconds(250)}).status;
     };
     EXPECT_EQ(status(error_code::unavailable, run_state::not_run), 503);
     EXPECT_EQ(status(error_code::quarantined, run_state::not_run), 429);
     EXPECT_EQ(status(error_code::unavailable, run_state::in_doubt), 502);
     EXPECT_EQ(status(error_code::deadline_exceeded, run_state::in_doubt), 504);
     EXPECT_EQ(status(error_code::cancelled, run_state::ran), 502);
-    EXPECT_EQ(protocol.to_response({error_code::overloaded, run_state::not_run, "", milliseconds(250)})
+    EXPECT_EQ(protocol.error_response({error_code::overloaded, run_state::not_run, "", milliseconds(250)})
                   .fields.find("Retry-After"),
               "0.250");
 }
--- a/tests/adapter/records_tests.cpp
+++ b/tests/adapter/records_tests.cpp
@@ -20,7 +20,7 @@
 {
     const auto read = to_replica(entry("i-1", good_replica));
     ASSERT_TRUE(ok(read));
-    EXPECT_EQ(value(read).lifetime(), "i-1@1700000000000");
+    EXPECT_EQ(value(read).instance_id(), "i-1@1700000000000");
     EXPECT_EQ(value(read).weights.at("m"), 3U);
     EXPECT_EQ(value(read).slots, 12);
     EXPECT_FALSE(value(read).draining);
--- a/tests/gateway/deployment.hpp
+++ b/tests/gateway/deployment.hpp
@@ -90,20 +90,20 @@
     /// Runs on the outside world's loop.
     void change(const std::function<void(standins::fake_store&)>& work)
     {
-        std::promise<void> told;
+        std::promise<void> promise;
         loop_.post([&] {
             work(store_);
-            told.set_value();
+            promise.set_value();
         });
-        told.get_future().wait();
+        promise.get_future().wait();
     }
 
     template <class Answer>
     Answer look(const std::function<Answer(standins::fake_store&)>& question)
     {
-        std::promise<Answer> told;
-        loop_.post([&] { told.set_value(question(store_)); });
-        return told.get_future().get();
+        std::promise<Answer> promise;
+        loop_.post([&] { promise.set_value(question(store_)); });
+        return promise.get_future().get();
     }
 
     /// Versions from 2 on have one more route, under /added/.
@@ -182,10 +182,10 @@
     net::http_result<net::http_response> send(const std::string& address, net::http_request request,
                                               milliseconds patience = milliseconds(5000))
     {
-        std::promise<net::http_result<net::http_response>> told;
+        std::promise<net::http_result<net::http_response>> promise;
         loop_.post(
-            [&] { net::start(loop_.context(), exchange(address, std::move(request), patience, told)); });
-        return told.get_future().get();
+            [&] { net::start(loop_.context(), exchange(address, std::move(request), patience, promise)); });
+        return promise.get_future().get();
     }
 
     /// The status of the answer; 0 where there was none.
@@ -205,7 +205,7 @@
 
 private:
     net::task<void> exchange(std::string address, net::http_request request, milliseconds patience,
-                             std::promise<net::http_result<net::http_response>>& told)
+                             std::promise<net::http_result<net::http_response>>& promise)
     {
         net::http_connection connection(loop_.context());
         const auto until = steady::now() + patience;
@@ -214,7 +214,7 @@
         if (std::holds_alternative<done>(connected)) {
             outcome = co_await net::exchange(connection, request, 8U << 20U, until);
         }
-        told.set_value(std::move(outcome));
+        promise.set_value(std::move(outcome));
     }
 
     wire::event_loop loop_;
--- a/tests/gateway/feed_sync_tests.cpp
+++ b/tests/gateway/feed_sync_tests.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// A configuration is to be in force everywhere this long after the store has acknowledged it.
-constexpr milliseconds time_to_apply{2000};
+constexpr milliseconds max_apply_time{2000};
 
 struct four_gateways : deployment {
     standins::fake_replica& replica = add_replica("r1", "plain");
@@ -50,13 +50,13 @@
 // The store falls silent to three of four gateways, on connections that look sound, whichever of them watch.
 // The operator adds a route. A gateway that took a watcher's "nothing new" for news would answer its callers
 // 404 until the watcher's connection is found dead.
-TEST(feed_hub, learns_of_a_configuration_while_the_store_is_silent_to_the_watchers)
+TEST(feed_sync, learns_of_a_configuration_while_the_store_is_silent_to_the_watchers)
 {
     for (const std::set<int>& silent : {std::set{1, 2, 3}, {0, 2, 3}, {0, 1, 3}, {0, 1, 2}}) {
         four_gateways all(silent);
         all.change([](standins::fake_store& store) { store.faults.second_silent = true; });
         all.put_configuration(2);
-        EXPECT_LT(all.time_until_all_serve_the_added_route(), time_to_apply);
+        EXPECT_LT(all.time_until_all_serve_the_added_route(), max_apply_time);
     }
 }
 
@@ -70,7 +70,7 @@
 
 // Engines load new weights, and each one's entry changes. VMs that serve no callers took all of it, more than
 // anything else they sent and received, and used none. Those that watch for the others need it.
-TEST(feed_hub, tells_vms_without_callers_only_what_they_use)
+TEST(feed_sync, tells_vms_without_callers_only_what_they_use)
 {
     deployment all;
     all.add_replica("r1", "plain");
@@ -100,21 +100,21 @@
 }
 
 // VMs that start at the same moment, with no seed that lives, find each other through the store.
-TEST(feed_hub, meets_gateways_that_started_at_the_same_moment)
+TEST(feed_sync, meets_gateways_that_started_at_the_same_moment)
 {
     for (int turn = 0; turn < 3; ++turn) {
         four_gateways all;
     }
 }
 
-TEST(feed_hub, learns_of_a_configuration_while_the_store_refuses_everybody_for_a_moment)
+TEST(feed_sync, learns_of_a_configuration_while_the_store_refuses_everybody_for_a_moment)
 {
     four_gateways all;
     all.change([](standins::fake_store& store) { store.faults.refuse = true; });
     std::this_thread::sleep_for(milliseconds(1500));
     all.change([](standins::fake_store& store) { store.faults.refuse = false; });
     all.put_configuration(2);
-    EXPECT_LT(all.time_until_all_serve_the_added_route(), time_to_apply);
+    EXPECT_LT(all.time_until_all_serve_the_added_route(), max_apply_time);
 }
 
 } // namespace
--- a/tests/gateway/feed_tests.cpp
+++ b/tests/gateway/feed_tests.cpp
@@ -23,8 +23,8 @@
 TEST(feed, tells_what_listing_again_found)
 {
     watched_feed watched;
-    watched.content.take_listing({{"a", make_object("a", 5)}, {"b", make_object("b", 6)}}, 10, start);
-    watched.content.take_listing({{"b", make_object("b", 12)}}, 20, start);
+    watched.content.apply_listing({{"a", make_object("a", 5)}, {"b", make_object("b", 6)}}, 10, start);
+    watched.content.apply_listing({{"b", make_object("b", 12)}}, 20, start);
     EXPECT_EQ(watched.seen, (std::vector<std::string>{"+a@5", "+b@6", "-a@5", "+b@12"}));
 }
 
@@ -33,9 +33,9 @@
 TEST(feed, never_goes_back)
 {
     watched_feed watched;
-    watched.content.take_changes({{{make_object("a", 9), false}}, 9}, start);
-    watched.content.take_changes({{{make_object("a", 5), false}}, 5}, start);
-    watched.content.take_listing({{"a", make_object("a", 5)}}, 6, start);
+    watched.content.apply_changes({{{make_object("a", 9), false}}, 9}, start);
+    watched.content.apply_changes({{{make_object("a", 5), false}}, 5}, start);
+    watched.content.apply_listing({{"a", make_object("a", 5)}}, 6, start);
     EXPECT_EQ(watched.content.objects().at("a").revision, 9U);
     EXPECT_EQ(watched.content.as_of(), 9U);
     EXPECT_EQ(watched.seen.size(), 1U);
@@ -45,13 +45,13 @@
 {
     watched_feed watcher;
     watched_feed other;
-    watcher.content.take_listing({{"a", make_object("a", 5)}, {"b", make_object("b", 6)}}, 10, start);
-    other.content.take_news(watcher.content.news(0), start);
+    watcher.content.apply_listing({{"a", make_object("a", 5)}, {"b", make_object("b", 6)}}, 10, start);
+    other.content.apply_update(watcher.content.update_since(0), start);
     EXPECT_EQ(other.content.objects().size(), 2U);
-    EXPECT_FALSE(watcher.content.has_news(other.content.as_of()));
-    watcher.content.take_changes({{{make_object("a", 5), true}}, 15}, start);
-    ASSERT_TRUE(watcher.content.has_news(other.content.as_of()));
-    other.content.take_news(watcher.content.news(other.content.as_of()), start);
+    EXPECT_FALSE(watcher.content.changed_since(other.content.as_of()));
+    watcher.content.apply_changes({{{make_object("a", 5), true}}, 15}, start);
+    ASSERT_TRUE(watcher.content.changed_since(other.content.as_of()));
+    other.content.apply_update(watcher.content.update_since(other.content.as_of()), start);
     EXPECT_FALSE(other.content.objects().contains("a"));
     EXPECT_EQ(other.seen.back(), "-a@5");
 }
@@ -60,9 +60,9 @@
 {
     watched_feed slow;
     watched_feed quick;
-    slow.content.take_listing({{"a", make_object("a", 5)}}, 10, start);
-    quick.content.take_listing({{"a", make_object("a", 5)}, {"b", make_object("b", 12)}}, 12, start);
-    quick.content.take_news(slow.content.news(0), start);
+    slow.content.apply_listing({{"a", make_object("a", 5)}}, 10, start);
+    quick.content.apply_listing({{"a", make_object("a", 5)}, {"b", make_object("b", 12)}}, 12, start);
+    quick.content.apply_update(slow.content.update_since(0), start);
     EXPECT_TRUE(quick.content.objects().contains("b"));
 }
 
@@ -73,10 +73,10 @@
 {
     watched_feed watcher;
     watched_feed other;
-    watcher.content.take_listing({{"a", make_object("a", 5)}}, 10, start);
-    other.content.take_listing({{"a", make_object("a", 5)}}, 30, start);
-    other.content.take_news(watcher.content.news(30), start + seconds{5});
-    EXPECT_EQ(other.content.confirmed(), start + seconds{5});
+    watcher.content.apply_listing({{"a", make_object("a", 5)}}, 10, start);
+    other.content.apply_listing({{"a", make_object("a", 5)}}, 30, start);
+    other.content.apply_update(watcher.content.update_since(30), start + seconds{5});
+    EXPECT_EQ(other.content.confirmed_at(), start + seconds{5});
     EXPECT_EQ(other.content.as_of(), 30U);
 }
 
@@ -84,13 +84,13 @@
 {
     watched_feed watcher;
     watched_feed other;
-    watcher.content.take_listing({{"a", make_object("a", 5)}, {"b", make_object("b", 6)}}, 10, start);
-    other.content.take_news(watcher.content.news(0), start);
-    watcher.content.take_changes({{{make_object("a", 5), true}, {make_object("c", 16), false}}, 16}, start);
-    const auto news = watcher.content.news(other.content.as_of());
+    watcher.content.apply_listing({{"a", make_object("a", 5)}, {"b", make_object("b", 6)}}, 10, start);
+    other.content.apply_update(watcher.content.update_since(0), start);
+    watcher.content.apply_changes({{{make_object("a", 5), true}, {make_object("c", 16), false}}, 16}, start);
+    const auto news = watcher.content.update_since(other.content.as_of());
     EXPECT_FALSE(news.names);
     EXPECT_EQ(news.changed.size(), 1U);
-    other.content.take_news(news, start);
+    other.content.apply_update(news, start);
     EXPECT_EQ(other.seen, (std::vector<std::string>{"+a@5", "+b@6", "-a@5", "+c@16"}));
 }
 
@@ -101,10 +101,10 @@
 {
     watched_feed watcher;
     watched_feed other;
-    watcher.content.take_listing({{"a", make_object("a", 5)}}, 100, start);
-    other.content.take_listing({{"a", make_object("a", 5)}, {"x", make_object("x", 110)}}, 115, start);
-    watcher.content.take_listing({{"a", make_object("a", 5)}, {"b", make_object("b", 125)}}, 130, start);
-    other.content.take_news(watcher.content.news(other.content.as_of()), start);
+    watcher.content.apply_listing({{"a", make_object("a", 5)}}, 100, start);
+    other.content.apply_listing({{"a", make_object("a", 5)}, {"x", make_object("x", 110)}}, 115, start);
+    watcher.content.apply_listing({{"a", make_object("a", 5)}, {"b", make_object("b", 125)}}, 130, start);
+    other.content.apply_update(watcher.content.update_since(other.content.as_of()), start);
     EXPECT_FALSE(other.content.objects().contains("x"));
     EXPECT_TRUE(other.content.objects().contains("b"));
 }
@@ -114,10 +114,10 @@
 {
     watched_feed watcher;
     watched_feed other;
-    watcher.content.take_listing({}, 100, start);
-    other.content.take_listing({{"x", make_object("x", 110)}}, 115, start);
-    watcher.content.take_changes({{{make_object("x", 110), true}}, 120}, start);
-    other.content.take_news(watcher.content.news(other.content.as_of()), start);
+    watcher.content.apply_listing({}, 100, start);
+    other.content.apply_listing({{"x", make_object("x", 110)}}, 115, start);
+    watcher.content.apply_changes({{{make_object("x", 110), true}}, 120}, start);
+    other.content.apply_update(watcher.content.update_since(other.content.as_of()), start);
     EXPECT_TRUE(other.content.objects().empty());
 }
 
@@ -126,11 +126,11 @@
 {
     watched_feed watcher;
     watched_feed other;
-    watcher.content.take_listing({{"a", make_object("a", 5)}}, 10, start);
-    other.content.take_news(watcher.content.news(0), start);
-    watcher.content.take_changes({{{make_object("a", 5), true}}, 12}, start);
-    watcher.content.take_changes({{{make_object("a", 14), false}}, 14}, start);
-    other.content.take_news(watcher.content.news(10), start);
+    watcher.content.apply_listing({{"a", make_object("a", 5)}}, 10, start);
+    other.content.apply_update(watcher.content.update_since(0), start);
+    watcher.content.apply_changes({{{make_object("a", 5), true}}, 12}, start);
+    watcher.content.apply_changes({{{make_object("a", 14), false}}, 14}, start);
+    other.content.apply_update(watcher.content.update_since(10), start);
     EXPECT_EQ(other.content.objects().at("a").revision, 14U);
 }
 
@@ -139,12 +139,12 @@
 TEST(feed, holds_nothing_once_it_has_forgotten)
 {
     watched_feed watched;
-    watched.content.take_listing({{"a", make_object("a", 5)}}, 10, start);
-    watched.content.forget();
-    EXPECT_FALSE(watched.content.known());
+    watched.content.apply_listing({{"a", make_object("a", 5)}}, 10, start);
+    watched.content.reset();
+    EXPECT_FALSE(watched.content.synced());
     EXPECT_EQ(watched.seen.back(), "-a@5");
-    EXPECT_FALSE(watched.content.has_news(0));
-    watched.content.take_listing({{"a", make_object("a", 5)}}, 12, start);
+    EXPECT_FALSE(watched.content.changed_since(0));
+    watched.content.apply_listing({{"a", make_object("a", 5)}}, 12, start);
     EXPECT_EQ(watched.seen.back(), "+a@5");
     EXPECT_EQ(watched.content.as_of(), 12U);
 }
@@ -155,11 +155,11 @@
 {
     watched_feed watcher;
     watched_feed other;
-    watcher.content.take_listing({{"a", make_object("a", 5)}}, 10, start);
-    other.content.take_news(watcher.content.news(0), start);
-    watcher.content.take_changes({{{make_object("a", 5), true}}, 20}, start);
-    watcher.content.take_listing({}, 12, start);
-    other.content.take_news(watcher.content.news(other.content.as_of()), start);
+    watcher.content.apply_listing({{"a", make_object("a", 5)}}, 10, start);
+    other.content.apply_update(watcher.content.update_since(0), start);
+    watcher.content.apply_changes({{{make_object("a", 5), true}}, 20}, start);
+    watcher.content.apply_listing({}, 12, start);
+    other.content.apply_update(watcher.content.update_since(other.content.as_of()), start);
     EXPECT_TRUE(other.content.objects().empty());
 }
 
@@ -167,24 +167,24 @@
 {
     watched_feed watcher;
     watched_feed other;
-    watcher.content.take_listing({{"a", make_object("a", 5)}}, 10, start);
-    other.content.take_news(watcher.content.news(0), start);
+    watcher.content.apply_listing({{"a", make_object("a", 5)}}, 10, start);
+    other.content.apply_update(watcher.content.update_since(0), start);
     for (std::uint64_t at = 11; at < 3011; ++at) {
-        watcher.content.take_changes({{{make_object("o" + std::to_string(at), at), true}}, at}, start);
+        watcher.content.apply_changes({{{make_object("o" + std::to_string(at), at), true}}, at}, start);
     }
-    watcher.content.take_changes({{{make_object("a", 5), true}}, 3012}, start);
-    EXPECT_TRUE(watcher.content.news(10).names);
-    EXPECT_FALSE(watcher.content.news(3000).names);
-    other.content.take_news(watcher.content.news(10), start);
+    watcher.content.apply_changes({{{make_object("a", 5), true}}, 3012}, start);
+    EXPECT_TRUE(watcher.content.update_since(10).names);
+    EXPECT_FALSE(watcher.content.update_since(3000).names);
+    other.content.apply_update(watcher.content.update_since(10), start);
     EXPECT_TRUE(other.content.objects().empty());
 }
 
 TEST(feed, keeps_what_this_gateway_wrote_until_the_watch_tells_it)
 {
     watched_feed watched;
-    watched.content.take_listing({}, 10, start);
-    watched.content.take_own(make_object("mine", 14));
-    watched.content.take_listing({}, 12, start); // asked before the write
+    watched.content.apply_listing({}, 10, start);
+    watched.content.apply_own_write(make_object("mine", 14));
+    watched.content.apply_listing({}, 12, start); // asked before the write
     EXPECT_TRUE(watched.content.objects().contains("mine"));
 }
 
--- a/tests/gateway/forwarding_tests.cpp
+++ b/tests/gateway/forwarding_tests.cpp
@@ -16,10 +16,10 @@
 
 /// Of two replicas the one that looks slower is tried for every fourth request on average; that its turn has
 /// not come after so many has a chance below 10^-49.
-constexpr int turns_at_most = 400;
+constexpr int max_turns = 400;
 
 /// Gateways know of each other's lost replicas within this time.
-constexpr milliseconds time_to_tell{2500};
+constexpr milliseconds crash_sync_time{2500};
 
 struct one_gateway : deployment {
     standins::fake_replica& first = add_replica("r1", "plain");
@@ -61,7 +61,7 @@
     /// Whether to go on with requests: the first replica has not yet shown all its faults.
     bool first_has_faults_left(int turn)
     {
-        return turn < turns_at_most &&
+        return turn < max_turns &&
                look<bool>([this](standins::fake_store&) { return !first.script.empty(); });
     }
     void script(std::vector<replica_fault> faults)
@@ -291,7 +291,7 @@
     }
     ASSERT_EQ(seen().replicas, 3U);
     const auto before = seen().runs;
-    std::this_thread::sleep_for(time_to_tell);
+    std::this_thread::sleep_for(crash_sync_time);
     for (const auto& gateway : all.gateways) {
         EXPECT_EQ(all.status_of(gateway->address(), make_request("/once/bad", "q")), 429);
     }
@@ -357,7 +357,7 @@
     const auto faults_left = [&] {
         return all.look<bool>([&](standins::fake_store&) { return !one.script.empty(); });
     };
-    for (int turn = 0; turn < 8 || (turn < turns_at_most && faults_left()); ++turn) {
+    for (int turn = 0; turn < 8 || (turn < max_turns && faults_left()); ++turn) {
         const auto id = "a" + std::to_string(turn);
         const auto outcome = all.send(served.address(), make_stream_request(id));
         const auto& response = std::get<net::http_response>(outcome);
--- a/tests/gateway/store_call_tests.cpp
+++ b/tests/gateway/store_call_tests.cpp
@@ -9,7 +9,7 @@
 
 using nlohmann::json;
 
-stored_object an_object()
+stored_object make_object()
 {
     return {"r1", 7, {{"n", 1}}, {{"s", true}}};
 }
@@ -24,7 +24,7 @@
 }
 
 /// The text with the value at one of its places replaced, or with the place left out.
-json spoilt(const json& whole)
+json mutated(const json& whole)
 {
     auto flat = whole.flatten();
     const auto place = *rc::gen::inRange<std::size_t>(0, flat.size());
@@ -43,14 +43,14 @@
     return text;
 }
 
-store_call a_call(store_operation operation)
+store_call make_call(store_operation operation)
 {
     return {operation, "servers", "r1", {{"n", 1}}, 7};
 }
 
 TEST(store_call, is_the_same_behind_the_wire)
 {
-    const auto sent = a_call(store_operation::replace);
+    const auto sent = make_call(store_operation::replace);
     const auto read = value(store_call_from_json(to_json(sent)));
     EXPECT_EQ(read.operation, sent.operation);
     EXPECT_EQ(read.kind, sent.kind);
@@ -62,9 +62,9 @@
 TEST(store_answer, is_the_same_behind_the_wire)
 {
     const auto object =
-        value(store_answer_from_json(store_operation::read, to_json(result<store_answer>{an_object()})));
-    EXPECT_EQ(std::get<stored_object>(object).value, an_object().value);
-    const result<store_answer> listed{object_listing{{an_object()}, true, 9}};
+        value(store_answer_from_json(store_operation::read, to_json(result<store_answer>{make_object()})));
+    EXPECT_EQ(std::get<stored_object>(object).value, make_object().value);
+    const result<store_answer> listed{object_listing{{make_object()}, true, 9}};
     const auto listing = value(store_answer_from_json(store_operation::list, to_json(listed)));
     EXPECT_EQ(std::get<object_listing>(listing).as_of, 9U);
     EXPECT_TRUE(std::get<object_listing>(listing).more);
@@ -93,15 +93,15 @@
 {
     const auto operation = *rc::gen::element(store_operation::read, store_operation::list,
                                              store_operation::replace, store_operation::set_status);
-    store_call_from_json(spoilt(to_json(a_call(operation))));
-    store_answer_from_json(operation, spoilt(to_json(result<store_answer>{an_object()})));
-    const result<store_answer> listed{object_listing{{an_object()}, true, 9}};
-    store_answer_from_json(operation, spoilt(to_json(listed)));
+    store_call_from_json(mutated(to_json(make_call(operation))));
+    store_answer_from_json(operation, mutated(to_json(result<store_answer>{make_object()})));
+    const result<store_answer> listed{object_listing{{make_object()}, true, 9}};
+    store_answer_from_json(operation, mutated(to_json(listed)));
     const result<store_answer> refused{error{error_code::conflict, run_state::not_run, "taken"}};
-    store_answer_from_json(operation, spoilt(to_json(refused)));
-    feed_news_from_json(
-        spoilt(to_json(feed_news{9, {an_object()}, {an_object()}, std::set<std::string>{"r1"}})));
-    feed_news_from_json(any_json());
+    store_answer_from_json(operation, mutated(to_json(refused)));
+    feed_update_from_json(
+        mutated(to_json(feed_update{9, {make_object()}, {make_object()}, std::set<std::string>{"r1"}})));
+    feed_update_from_json(any_json());
 }
 
 } // namespace
--- a/tests/gateway/untrusted_input_tests.cpp
+++ b/tests/gateway/untrusted_input_tests.cpp
@@ -10,36 +10,36 @@
 using nlohmann::json;
 
 /// A gateway's relay to the store, without the rest of the gateway.
-struct lone_relay : deployment {
+struct standalone_relay : deployment {
     wire::event_loop loop;
     platform::users_store store{loop.context(), store_address()};
     fleet_view fleet{loop, make_settings("a", store_address(), {})};
     peer_relay relay{loop.context(), store, fleet};
 
-    ~lone_relay() { loop.stop(); }
+    ~standalone_relay() { loop.stop(); }
 
     net::http_response answer_to(const std::string& body)
     {
-        std::promise<net::http_response> told;
-        loop.post([&] { net::start(loop.context(), serve(body, told)); });
-        return told.get_future().get();
+        std::promise<net::http_response> promise;
+        loop.post([&] { net::start(loop.context(), serve(body, promise)); });
+        return promise.get_future().get();
     }
 
 private:
-    net::task<void> serve(std::string body, std::promise<net::http_response>& told)
+    net::task<void> serve(std::string body, std::promise<net::http_response>& promise)
     {
         net::http_request request;
         request.body = std::move(body);
         auto response = co_await relay.serve(request);
-        told.set_value(std::move(response));
+        promise.set_value(std::move(response));
     }
 };
 
 // Another program's client calls the port that a gateway's relay has now. Each such call must be refused; an
 // exception that left it ended the gateway, and with it every request under way.
-TEST(foreign_input, to_the_relay_is_refused)
+TEST(untrusted_input, to_the_relay_is_refused)
 {
-    lone_relay all;
+    standalone_relay all;
     for (const auto* body :
          {"", "hello", "[]", "{}", R"({"op": 1, "kind": "servers", "name": ""})",
           R"({"op": "list", "kind": {}, "name": ""})", R"({"op": "read", "kind": "servers", "name": 7})",
@@ -55,7 +55,7 @@
 
 // Somebody else writes into the kinds that the gateways use among themselves. The gateways pass over what
 // they can't read; an exception there ended each gateway that read it, also after each restart.
-TEST(foreign_input, in_the_gateways_own_kinds_is_passed_over)
+TEST(untrusted_input, in_the_gateways_own_kinds_is_passed_over)
 {
     deployment all;
     all.add_replica("r1", "plain");
--- a/tests/stop/kept_connection_drain_tests.cpp
+++ b/tests/stop/kept_connection_drain_tests.cpp
@@ -21,7 +21,7 @@
 constexpr std::string_view last_chunk = "\r\n0\r\n\r\n";
 
 /// Begins a stream, and ends it when the test says so.
-class held_stream final : public target::v1::Engine {
+class paused_stream final : public target::v1::Engine {
 public:
     std::promise<void> release;
 
@@ -44,7 +44,7 @@
 // Guards against a request that is dropped unanswered on a connection whose last answer promised to keep it.
 TEST(kept_connection, is_not_closed_behind_a_stream_that_began_before_the_stop)
 {
-    held_stream engine;
+    paused_stream engine;
     dispatcher calls{{}};
     calls.mount(engine, role::anyone);
     http_limits limits;
--- a/tests/stop/planned_stop_tests.cpp
+++ b/tests/stop/planned_stop_tests.cpp
@@ -70,7 +70,7 @@
     }
 
     /// Requests that got neither an answer nor a refusal: they ran, or their connection stood open.
-    std::vector<std::string> lost()
+    std::vector<std::string> unanswered()
     {
         std::vector<std::string> found;
         for (const auto& request : seen_) {
@@ -140,7 +140,7 @@
     for (auto& caller : callers) {
         caller.join();
     }
-    EXPECT_EQ(lost(), std::vector<std::string>{});
+    EXPECT_EQ(unanswered(), std::vector<std::string>{});
     EXPECT_EQ(falsely_refused(), std::vector<std::string>{});
     EXPECT_GT(answered(), 20U);
     EXPECT_EQ(refused_for_the_stop(), 0U);
@@ -170,7 +170,7 @@
     for (auto& caller : callers) {
         caller.join();
     }
-    EXPECT_EQ(lost(), std::vector<std::string>{});
+    EXPECT_EQ(unanswered(), std::vector<std::string>{});
     EXPECT_EQ(falsely_refused(), std::vector<std::string>{});
     EXPECT_GT(answered(), 20U);
     EXPECT_EQ(refused_for_the_stop(), 0U);
@@ -192,7 +192,7 @@
     ASSERT_TRUE(deployment::eventually([this] { return ran("silent"); }));
     stop();
     caller.join();
-    EXPECT_EQ(lost(), std::vector<std::string>{});
+    EXPECT_EQ(unanswered(), std::vector<std::string>{});
     EXPECT_EQ(falsely_refused(), std::vector<std::string>{});
 }
 
@@ -207,7 +207,7 @@
     for (auto& caller : callers) {
         caller.join();
     }
-    EXPECT_EQ(lost(), std::vector<std::string>{});
+    EXPECT_EQ(unanswered(), std::vector<std::string>{});
 }
 
 } // namespace
--- a/tests/stop/reload_tests.cpp
+++ b/tests/stop/reload_tests.cpp
@@ -8,7 +8,7 @@
 namespace vanillagauge::gateway {
 namespace {
 
-constexpr milliseconds config_bound{2000};
+constexpr milliseconds max_apply_time{2000};
 /// The store after the move has gone through all changes of the store before.
 constexpr int earlier_changes = 50;
 
@@ -16,7 +16,7 @@
 protected:
     deployment world;
     wire::event_loop loop;
-    standins::fake_store before{loop.context()};
+    standins::fake_store old_store{loop.context()};
     std::string file = testing::TempDir() + "reload_tests.json";
 
     void TearDown() override
@@ -40,17 +40,18 @@
 
     static std::uint64_t version_at(platform::gateway_program& program)
     {
-        return program.ask<std::uint64_t>([](gateway& served) { return served.current().version; });
+        return program.ask<std::uint64_t>(
+            [](gateway& served) { return served.current_configuration().version; });
     }
 };
 
 // Guards against a gateway that goes on waiting for news of the store before, while the new one has some.
 TEST_F(reloaded_gateway, hears_at_once_from_the_store_that_it_moves_to)
 {
-    const auto address_before = value(before.open());
+    const auto address_before = value(old_store.open());
     const auto first = world.look<nlohmann::json>(
         [](standins::fake_store& store) { return store.find("config", "main")["Specification"]; });
-    loop.run([&] { before.put("config", "main", first); });
+    loop.run([&] { old_store.put("config", "main", first); });
     write_settings(address_before);
     const auto settings = config::load_settings(file);
     ASSERT_TRUE(ok(settings)) << describe(failure(settings));
@@ -69,7 +70,7 @@
     program.reload();
     const auto began = steady::now();
     EXPECT_TRUE(deployment::eventually([&] { return version_at(program) == 2; }));
-    EXPECT_LT(steady::now() - began, config_bound);
+    EXPECT_LT(steady::now() - began, max_apply_time);
     program.kill();
 }
 
--- a/tests/stop/stopping_gateway_tests.cpp
+++ b/tests/stop/stopping_gateway_tests.cpp
@@ -42,8 +42,8 @@
         });
     }
     /// Sends the text in two parts; the second at the given time. What came back, and how long after it.
-    std::pair<std::string, duration> in_two_parts(const std::string& first, const std::string& second,
-                                                  time_point at)
+    std::pair<std::string, duration> send_in_two_parts(const std::string& first, const std::string& second,
+                                                       time_point at)
     {
         boost::asio::io_context context;
         boost::asio::ip::tcp::socket socket(context);
@@ -103,8 +103,8 @@
     ASSERT_EQ(world.status_of(address, submission), 202);
     const auto order = steady::now();
     auto reading = std::async(std::launch::async, [&] {
-        return in_two_parts("GET /api/lots/b1?After=0 HTTP/1.1\r\nHost: h\r\nWait-Ms: 1000\r\n", "\r\n",
-                            order + milliseconds(1900));
+        return send_in_two_parts("GET /api/lots/b1?After=0 HTTP/1.1\r\nHost: h\r\nWait-Ms: 1000\r\n", "\r\n",
+                                 order + milliseconds(1900));
     });
     std::this_thread::sleep_for(milliseconds(20));
     served->stop();
@@ -150,8 +150,8 @@
     std::thread stopping([&] { served->stop(); });
     std::this_thread::sleep_for(milliseconds(4200));
     // Its route allows 3 s.
-    const auto [text, took] =
-        in_two_parts("GET /score/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: patient\r\n", "\r\n", steady::now());
+    const auto [text, took] = send_in_two_parts("GET /score/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: patient\r\n",
+                                                "\r\n", steady::now());
     over = true;
     for (auto& caller : busy) {
         caller.join();
--- a/tests/stop/store_move_tests.cpp
+++ b/tests/stop/store_move_tests.cpp
@@ -22,17 +22,17 @@
 class store_move : public testing::Test {
 protected:
     wire::event_loop loop;
-    standins::fake_store before{loop.context()};
-    standins::fake_store after{loop.context()};
-    std::string address_after;
+    standins::fake_store old_store{loop.context()};
+    standins::fake_store new_store{loop.context()};
+    std::string new_address;
     std::optional<users_store> moved;
 
     void SetUp() override
     {
-        const auto first = before.open();
-        const auto second = after.open();
+        const auto first = old_store.open();
+        const auto second = new_store.open();
         ASSERT_TRUE(ok(first) && ok(second));
-        address_after = value(second);
+        new_address = value(second);
         moved.emplace(loop.context(), value(first));
     }
     void TearDown() override { loop.stop(); }
@@ -40,29 +40,29 @@
     template <class Answer>
     std::future<Answer> start(std::function<net::task<Answer>()> work)
     {
-        auto told = std::make_shared<std::promise<Answer>>();
-        auto answer = told->get_future();
-        net::start(loop.context(), keep(std::move(work), std::move(told)));
+        auto promise = std::make_shared<std::promise<Answer>>();
+        auto answer = promise->get_future();
+        net::start(loop.context(), keep(std::move(work), std::move(promise)));
         return answer;
     }
 
 private:
     template <class Answer>
     static net::task<void> keep(std::function<net::task<Answer>()> work,
-                                std::shared_ptr<std::promise<Answer>> told)
+                                std::shared_ptr<std::promise<Answer>> promise)
     {
-        told->set_value(co_await work());
+        promise->set_value(co_await work());
     }
 };
 
 // Guards against calls that go to the store before, over the connection of a call that outlasted the move.
 TEST_F(store_move, takes_no_connection_of_the_store_before)
 {
-    loop.run([this] { after.put(kind, "x", {{"at", "after"}}); });
+    loop.run([this] { new_store.put(kind, "x", {{"at", "after"}}); });
     auto watched = start<result<gateway::object_changes>>(
         [this] { return moved->watch(kind, far_revision, watch_time); });
     std::this_thread::sleep_for(watch_time / 3); // the watch waits at the store before
-    loop.run([this] { moved->move_to(address_after); });
+    loop.run([this] { moved->move_to(new_address); });
     watched.wait();
     const auto read = start<result<gateway::stored_object>>([this] { return moved->read(kind, "x"); }).get();
     ASSERT_TRUE(ok(read)) << describe(failure(read));
