--- a/tests/gateway/batch_tests.cpp
+++ b/tests/gateway/batch_tests.cpp
@@ -13,7 +13,7 @@
 {
     for (auto* served : gateways) {
         EXPECT_TRUE(deployment::eventually([&] {
-            return served->ready() && served->ask<std::size_t>([](gateway& asked) {
+            return served->ready() && served->query<std::size_t>([](gateway& asked) {
                 return asked.addresses().front_addresses.size();
             }) == gateways.size();
         }));
@@ -41,11 +41,13 @@
     batches all;
     auto& served = all.ready_gateway("a");
     EXPECT_EQ(all.status_of(served.address(), make_read("none", 0)), 404);
-    all.change([](standins::fake_store& store) { store.faults.refuse = true; });
+    all.modify_store([](standins::fake_store& store) { store.faults.refuse = true; });
     EXPECT_EQ(all.status_of(served.address(), make_read("none", 0)), 503);
     EXPECT_EQ(all.status_of(served.address(), make_batch("b1")), 503);
-    all.change([](standins::fake_store& store) { store.faults.refuse = false; });
-    EXPECT_EQ(all.look<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }), 0U);
+    all.modify_store([](standins::fake_store& store) { store.faults.refuse = false; });
+    EXPECT_EQ(
+        all.inspect_store<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }),
+        0U);
 }
 
 // The store does the acceptance and its answer is lost. The trainer must not hear that nothing runs: the
@@ -54,7 +56,7 @@
 {
     batches all;
     auto& served = all.ready_gateway("a");
-    all.change([](standins::fake_store& store) { store.faults.lose_answers = 2; });
+    all.modify_store([](standins::fake_store& store) { store.faults.lose_answers = 2; });
     EXPECT_EQ(all.status_of(served.address(), make_batch("b1")), 202);
     expect_whole(all.read_all({served.address()}, "b1"));
 }
@@ -65,7 +67,7 @@
     batches all;
     auto& served = all.ready_gateway("a");
     EXPECT_EQ(all.status_of(served.address(), make_batch("b1")), 202);
-    all.change([](standins::fake_store& store) {
+    all.modify_store([](standins::fake_store& store) {
         store.faults.delay_writes = 2;
         store.faults.write_delay = milliseconds(400);
     });
@@ -78,7 +80,7 @@
 {
     batches all;
     auto& served = all.ready_gateway("a");
-    all.change([&](standins::fake_store&) {
+    all.modify_store([&](standins::fake_store&) {
         all.one.script = {replica_fault::cut_stream, replica_fault::shed, replica_fault::fail};
         all.two.script = {replica_fault::reset, replica_fault::cut_stream, replica_fault::other_attempt};
     });
@@ -90,7 +92,7 @@
 {
     batches all;
     auto& served = all.ready_gateway("a");
-    all.change([&](standins::fake_store&) {
+    all.modify_store([&](standins::fake_store&) {
         all.one.script = {replica_fault::never};
         all.two.script = {replica_fault::never};
     });
@@ -110,7 +112,7 @@
     batches all;
     auto& first = all.ready_gateway("a");
     auto& second = all.ready_gateway("b");
-    all.change([&](standins::fake_store&) {
+    all.modify_store([&](standins::fake_store&) {
         all.one.event_time = milliseconds(150);
         all.two.event_time = milliseconds(150);
     });
@@ -130,18 +132,20 @@
     auto& second = all.add_gateway_at_second("b");
     expect_acquainted({&first, &second});
     const auto runs = [&] {
-        return all.look<std::size_t>(
+        return all.inspect_store<std::size_t>(
             [&](standins::fake_store&) { return all.one.ran.size() + all.two.ran.size(); });
     };
-    all.change([](standins::fake_store& store) { store.faults.second_silent = true; });
+    all.modify_store([](standins::fake_store& store) { store.faults.second_silent = true; });
     constexpr milliseconds patience{1300};
     for (auto* served : {&first, &second}) {
         const auto answer = all.send(served->address(), make_batch("b1"), patience);
         EXPECT_FALSE(std::holds_alternative<net::http_response>(answer));
     }
     EXPECT_TRUE(deployment::eventually([&] { return runs() == item_count; }));
-    EXPECT_EQ(all.look<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }), 0U);
-    all.change([](standins::fake_store& store) { store.faults.second_silent = false; });
+    EXPECT_EQ(
+        all.inspect_store<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }),
+        0U);
+    all.modify_store([](standins::fake_store& store) { store.faults.second_silent = false; });
     EXPECT_TRUE(
         deployment::eventually([&] { return all.status_of(second.address(), make_batch("b1")) == 202; }));
     expect_whole(all.read_all({second.address()}, "b1"));
@@ -156,9 +160,9 @@
     auto& first = all.add_gateway_at_second("a");
     auto& second = all.add_gateway_at_second("b");
     expect_acquainted({&first, &second});
-    all.change([](standins::fake_store& store) { store.faults.second_silent = true; });
+    all.modify_store([](standins::fake_store& store) { store.faults.second_silent = true; });
     all.send(first.address(), make_batch("b1"), milliseconds(1300));
-    all.change([](standins::fake_store& store) {
+    all.modify_store([](standins::fake_store& store) {
         store.faults.second_silent = false;
         store.faults.refuse = true;
     });
@@ -175,16 +179,18 @@
     batches all;
     auto& served = all.add_gateway_at_second("a");
     EXPECT_TRUE(deployment::eventually([&] { return served.ready(); }));
-    all.change([](standins::fake_store& store) { store.faults.second_silent = true; });
+    all.modify_store([](standins::fake_store& store) { store.faults.second_silent = true; });
     all.send(served.address(), make_batch("b1", 9), milliseconds(1300));
     const auto running = [&] {
-        return served.ask<std::size_t>([](gateway& asked) { return asked.batches_running(); });
+        return served.query<std::size_t>([](gateway& asked) { return asked.batches_running(); });
     };
     EXPECT_EQ(running(), 1U);
     EXPECT_TRUE(deployment::eventually([&] { return running() == 0; }));
-    all.change([](standins::fake_store& store) { store.faults.second_silent = false; });
+    all.modify_store([](standins::fake_store& store) { store.faults.second_silent = false; });
     std::this_thread::sleep_for(milliseconds(800));
-    EXPECT_EQ(all.look<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }), 0U);
+    EXPECT_EQ(
+        all.inspect_store<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }),
+        0U);
 }
 
 // The owner dies while its items are long under way. Without their texts each would begin at its start and
@@ -194,7 +200,7 @@
     batches all;
     auto& first = all.ready_gateway("a");
     auto& second = all.ready_gateway("b");
-    all.change([&](standins::fake_store&) {
+    all.modify_store([&](standins::fake_store&) {
         for (auto* engine : {&all.one, &all.two}) {
             engine->events = 40;
             engine->event_time = milliseconds(60);
@@ -202,13 +208,13 @@
     });
     EXPECT_EQ(all.status_of(first.address(), make_batch("b1")), 202);
     EXPECT_TRUE(deployment::eventually([&] {
-        return all.look<std::size_t>(
+        return all.inspect_store<std::size_t>(
                    [](standins::fake_store& store) { return store.count("batch-texts"); }) == 1;
     }));
     first.kill();
     const auto results = all.read_all({second.address()}, "b1");
     ASSERT_EQ(results.size(), item_count);
-    const auto resumed = all.look<std::size_t>([&](standins::fake_store&) {
+    const auto resumed = all.inspect_store<std::size_t>([&](standins::fake_store&) {
         std::size_t count = 0;
         for (const auto* engine : {&all.one, &all.two}) {
             count += static_cast<std::size_t>(
@@ -230,7 +236,7 @@
 {
     batches all;
     auto& first = all.ready_gateway("a");
-    all.change([&](standins::fake_store&) {
+    all.modify_store([&](standins::fake_store&) {
         all.one.event_time = milliseconds(200);
         all.two.event_time = milliseconds(200);
     });
@@ -238,7 +244,7 @@
     first.kill();
     auto& second = all.ready_gateway("b");
     std::this_thread::sleep_for(milliseconds(300));
-    EXPECT_EQ(second.ask<std::size_t>([](gateway& served) { return served.batches_running(); }), 0U);
+    EXPECT_EQ(second.query<std::size_t>([](gateway& served) { return served.batches_running(); }), 0U);
     expect_whole(all.read_all({second.address()}, "b1"));
 }
 
@@ -248,7 +254,7 @@
 {
     batches all;
     auto& before = all.ready_gateway("a");
-    all.change([&](standins::fake_store&) {
+    all.modify_store([&](standins::fake_store&) {
         all.one.event_time = milliseconds(400);
         all.two.event_time = milliseconds(400);
     });
@@ -257,7 +263,7 @@
     auto& after = all.ready_gateway("a");
     const auto began = steady::now();
     EXPECT_TRUE(deployment::eventually([&] {
-        return after.ask<std::size_t>([](gateway& served) { return served.batches_running(); }) == 1;
+        return after.query<std::size_t>([](gateway& served) { return served.batches_running(); }) == 1;
     }));
     EXPECT_LT(steady::now() - began, milliseconds(1200));
     expect_whole(all.read_all({after.address()}, "b1"));
@@ -282,7 +288,7 @@
     batches all;
     auto& first = all.ready_gateway("a");
     auto& second = all.ready_gateway("b");
-    all.change([&](standins::fake_store&) {
+    all.modify_store([&](standins::fake_store&) {
         all.one.event_time = milliseconds(300);
         all.two.event_time = milliseconds(300);
     });
@@ -290,10 +296,10 @@
     EXPECT_EQ(all.status_of(second.address(), make_end("b1")), 200);
     EXPECT_EQ(all.status_of(second.address(), make_end("b1")), 200);
     EXPECT_TRUE(deployment::eventually([&] {
-        return first.ask<std::size_t>([](gateway& served) { return served.batches_running(); }) == 0;
+        return first.query<std::size_t>([](gateway& served) { return served.batches_running(); }) == 0;
     }));
     const auto runs = [&] {
-        return all.look<std::size_t>(
+        return all.inspect_store<std::size_t>(
             [&](standins::fake_store&) { return all.one.ran.size() + all.two.ran.size(); });
     };
     const auto before = runs();
@@ -308,7 +314,7 @@
     batches all;
     auto& served = all.ready_gateway("a");
     EXPECT_EQ(all.status_of(served.address(), make_batch("b1", 2)), 202);
-    all.change([](standins::fake_store& store) {
+    all.modify_store([](standins::fake_store& store) {
         store.put("versions", "m", {{"Model", "m"}, {"Version", 2}});
     });
     const auto results = all.read_all({served.address()}, "b1");
@@ -317,7 +323,7 @@
         EXPECT_EQ(entry.at("Versions"), json::array({2}));
     }
     EXPECT_TRUE(deployment::eventually([&] {
-        return all.look<std::size_t>(
+        return all.inspect_store<std::size_t>(
                    [&](standins::fake_store&) { return all.one.orders.size() + all.two.orders.size(); }) == 2;
     }));
 }
@@ -331,7 +337,7 @@
     EXPECT_EQ(all.status_of(served.address(), make_batch("b1", 9)), 202);
     EXPECT_EQ(all.body_of(served.address(), make_read("b1", 0))["Total"], item_count);
     const auto lists = [&] {
-        return all.look<std::uint64_t>(
+        return all.inspect_store<std::uint64_t>(
             [](standins::fake_store& store) { return store.list_calls("results-b1"); });
     };
     const auto before = lists();
@@ -340,7 +346,7 @@
     }
     EXPECT_EQ(lists(), before);
     // Without its history the store can't tell what came since: the listing does.
-    all.change([](standins::fake_store& store) {
+    all.modify_store([](standins::fake_store& store) {
         store.put(
             "results-b1", "00000000",
             {{"writer", "x"},
@@ -360,11 +366,14 @@
 {
     batches all;
     auto& served = all.ready_gateway("a");
-    all.change([](standins::fake_store& store) { store.put("results-b9", "00000000", {{"writer", 7}}); });
+    all.modify_store([](standins::fake_store& store) {
+        store.put("results-b9", "00000000", {{"writer", 7}});
+    });
     EXPECT_EQ(all.status_of(served.address(), make_batch("b9")), 202);
     std::this_thread::sleep_for(seconds(2));
     const auto calls = [&] {
-        return all.look<std::uint64_t>([](standins::fake_store& store) { return store.write_calls(); });
+        return all.inspect_store<std::uint64_t>(
+            [](standins::fake_store& store) { return store.write_calls(); });
     };
     const auto before = calls();
     std::this_thread::sleep_for(seconds(1));
@@ -375,10 +384,10 @@
 {
     batches all;
     all.ready_gateway("a");
-    all.change([](standins::fake_store& store) { store.put("retirements", "a", {{"DurationS", 8}}); });
+    all.modify_store([](standins::fake_store& store) { store.put("retirements", "a", {{"DurationS", 8}}); });
     EXPECT_TRUE(deployment::eventually([&] {
-        const auto entry =
-            all.look<json>([](standins::fake_store& store) { return store.find("retirements", "a"); });
+        const auto entry = all.inspect_store<json>(
+            [](standins::fake_store& store) { return store.find("retirements", "a"); });
         return entry.value("Status", json()) == json{{"State", "completed"}};
     }));
 }
--- a/tests/gateway/deployment.hpp
+++ b/tests/gateway/deployment.hpp
@@ -52,13 +52,13 @@
     void stop() { program_.stop(); }
 
     template <class Answer>
-    Answer ask(std::function<Answer(gateway&)> question)
+    Answer query(std::function<Answer(gateway&)> question)
     {
         return program_.ask<Answer>(std::move(question));
     }
     bool ready()
     {
-        return ask<bool>([](gateway& served) { return served.ready(); });
+        return query<bool>([](gateway& served) { return served.ready(); });
     }
 
 private:
@@ -88,7 +88,7 @@
     const std::string& store_address() const { return store_address_; }
 
     /// Runs on the outside world's loop.
-    void change(const std::function<void(standins::fake_store&)>& work)
+    void modify_store(const std::function<void(standins::fake_store&)>& work)
     {
         std::promise<void> promise;
         loop_.post([&] {
@@ -99,7 +99,7 @@
     }
 
     template <class Answer>
-    Answer look(const std::function<Answer(standins::fake_store&)>& question)
+    Answer inspect_store(const std::function<Answer(standins::fake_store&)>& question)
     {
         std::promise<Answer> promise;
         loop_.post([&] { promise.set_value(question(store_)); });
@@ -129,7 +129,7 @@
             added["PathPrefix"] = "/added/";
             whole["Routes"].push_back(std::move(added));
         }
-        change([&](standins::fake_store& store) { store.put("config", "main", whole); });
+        modify_store([&](standins::fake_store& store) { store.put("config", "main", whole); });
     }
 
     standins::fake_replica& add_replica(const std::string& id, const std::string& service)
@@ -142,7 +142,7 @@
     void put_replica(standins::fake_replica& known, const std::string& service, const std::string& state)
     {
         const auto entry = known.entry(service, service == "lm" ? "m" : "", state);
-        change([&](standins::fake_store& store) { store.put("servers", known.id(), entry); });
+        modify_store([&](standins::fake_store& store) { store.put("servers", known.id(), entry); });
     }
 
     running_gateway& add_gateway(const std::string& vm)
--- a/tests/gateway/feed_sync_tests.cpp
+++ b/tests/gateway/feed_sync_tests.cpp
@@ -28,7 +28,7 @@
 
     static std::size_t addresses_known(running_gateway& served)
     {
-        return served.ask<std::size_t>(
+        return served.query<std::size_t>(
             [](gateway& asked) { return asked.addresses().front_addresses.size(); });
     }
 
@@ -54,7 +54,7 @@
 {
     for (const std::set<int>& silent : {std::set{1, 2, 3}, {0, 2, 3}, {0, 1, 3}, {0, 1, 2}}) {
         four_gateways all(silent);
-        all.change([](standins::fake_store& store) { store.faults.second_silent = true; });
+        all.modify_store([](standins::fake_store& store) { store.faults.second_silent = true; });
         all.put_configuration(2);
         EXPECT_LT(all.time_until_all_serve_the_added_route(), max_apply_time);
     }
@@ -62,7 +62,7 @@
 
 std::size_t replicas_known(running_gateway& served)
 {
-    const auto page = served.ask<std::string>([](gateway& asked) { return asked.metrics_page(); });
+    const auto page = served.query<std::string>([](gateway& asked) { return asked.metrics_page(); });
     const std::string series = "feed_objects{kind=\"servers\"} ";
     const auto at = page.find(series);
     return at == std::string::npos ? 0 : std::stoul(page.substr(at + series.size()));
@@ -86,9 +86,11 @@
     EXPECT_TRUE(deployment::eventually([&] { return front.ready() && knowing() >= 2; }));
     EXPECT_EQ(all.status_of(front.address(), make_request("/safe/1", "a1")), 200);
     for (const auto* vm : {"s1", "s2", "s3", "s4", "s5"}) {
-        all.change([vm](standins::fake_store& store) { store.put("retirements", vm, {{"DurationS", 8}}); });
+        all.modify_store([vm](standins::fake_store& store) {
+            store.put("retirements", vm, {{"DurationS", 8}});
+        });
         EXPECT_TRUE(deployment::eventually([&] {
-            const auto entry = all.look<nlohmann::json>(
+            const auto entry = all.inspect_store<nlohmann::json>(
                 [vm](standins::fake_store& store) { return store.find("retirements", vm); });
             return entry.contains("Status");
         }));
@@ -110,9 +112,9 @@
 TEST(feed_sync, learns_of_a_configuration_while_the_store_refuses_everybody_for_a_moment)
 {
     four_gateways all;
-    all.change([](standins::fake_store& store) { store.faults.refuse = true; });
+    all.modify_store([](standins::fake_store& store) { store.faults.refuse = true; });
     std::this_thread::sleep_for(milliseconds(1500));
-    all.change([](standins::fake_store& store) { store.faults.refuse = false; });
+    all.modify_store([](standins::fake_store& store) { store.faults.refuse = false; });
     all.put_configuration(2);
     EXPECT_LT(all.time_until_all_serve_the_added_route(), max_apply_time);
 }
--- a/tests/gateway/forwarding_tests.cpp
+++ b/tests/gateway/forwarding_tests.cpp
@@ -34,7 +34,7 @@
     }
     std::size_t runs_of(const std::string& id)
     {
-        return look<std::size_t>([&](standins::fake_store&) {
+        return inspect_store<std::size_t>([&](standins::fake_store&) {
             std::size_t runs = 0;
             for (const auto* replica : {&first, &second}) {
                 for (const auto& seen : replica->ran) {
@@ -47,7 +47,7 @@
     /// The trace context with which a replica got the request.
     std::string trace_of(const std::string& id)
     {
-        return look<std::string>([&](standins::fake_store&) {
+        return inspect_store<std::string>([&](standins::fake_store&) {
             for (const auto* replica : {&first, &second}) {
                 for (const auto& seen : replica->ran) {
                     if (seen.attempt_id == id) {
@@ -62,11 +62,11 @@
     bool first_has_faults_left(int turn)
     {
         return turn < max_turns &&
-               look<bool>([this](standins::fake_store&) { return !first.script.empty(); });
+               inspect_store<bool>([this](standins::fake_store&) { return !first.script.empty(); });
     }
     void script(std::vector<replica_fault> faults)
     {
-        change([&](standins::fake_store&) {
+        modify_store([&](standins::fake_store&) {
             first.script = faults;
             second.script = faults;
         });
@@ -89,7 +89,7 @@
     one_gateway all;
     EXPECT_EQ(all.status_of(all.served.address(), make_request("/none/1", "a1")), 404);
     deployment empty;
-    empty.change([](standins::fake_store& store) { store.remove("config", "main"); });
+    empty.modify_store([](standins::fake_store& store) { store.remove("config", "main"); });
     auto& served = empty.add_gateway("b");
     EXPECT_EQ(empty.status_of(served.address(), make_request("/none/1", "a1")), 503);
     EXPECT_FALSE(served.ready());
@@ -100,7 +100,7 @@
 TEST(forwarding, repeats_an_idempotent_request_at_another_replica)
 {
     one_gateway all;
-    all.change([&](standins::fake_store&) { all.first.script = {replica_fault::reset}; });
+    all.modify_store([&](standins::fake_store&) { all.first.script = {replica_fault::reset}; });
     std::size_t runs = 0;
     std::size_t turns = 0;
     for (int turn = 0; turn < 8 || all.first_has_faults_left(turn); ++turn) {
@@ -126,7 +126,7 @@
 TEST(forwarding, takes_a_request_elsewhere_that_a_replica_did_not_run)
 {
     one_gateway all;
-    all.change([&](standins::fake_store&) { all.first.script = {replica_fault::shed}; });
+    all.modify_store([&](standins::fake_store&) { all.first.script = {replica_fault::shed}; });
     for (int turn = 0; turn < 4 || all.first_has_faults_left(turn); ++turn) {
         EXPECT_EQ(all.status_of(all.served.address(), make_request("/once/1", "a" + std::to_string(turn))),
                   200);
@@ -152,7 +152,7 @@
 {
     for (const auto fault : {replica_fault::other_attempt, replica_fault::no_stamp}) {
         one_gateway all;
-        all.change([&](standins::fake_store&) { all.first.script = {fault}; });
+        all.modify_store([&](standins::fake_store&) { all.first.script = {fault}; });
         for (int turn = 0; turn < 8 || all.first_has_faults_left(turn); ++turn) {
             const auto id = "a" + std::to_string(turn);
             const auto outcome = all.send(all.served.address(), make_request("/safe/1", id));
@@ -181,7 +181,7 @@
 {
     one_gateway all;
     EXPECT_EQ(all.status_of(all.served.address(), make_request("/once/1", "a1")), 200);
-    const auto left = all.look<std::string>([&](standins::fake_store&) {
+    const auto left = all.inspect_store<std::string>([&](standins::fake_store&) {
         for (const auto* replica : {&all.first, &all.second}) {
             for (const auto& seen : replica->ran) {
                 if (seen.attempt_id == "a1") {
@@ -199,13 +199,13 @@
 TEST(forwarding, stops_the_replica_when_its_client_leaves)
 {
     one_gateway all;
-    all.change([&](standins::fake_store&) {
+    all.modify_store([&](standins::fake_store&) {
         all.first.work_time = milliseconds(400);
         all.second.work_time = milliseconds(400);
     });
     all.send(all.served.address(), make_request("/safe/1", "a1"), milliseconds(100));
     EXPECT_TRUE(deployment::eventually([&] {
-        return all.look<int>(
+        return all.inspect_store<int>(
                    [&](standins::fake_store&) { return all.first.cancelled + all.second.cancelled; }) == 1;
     }));
     EXPECT_EQ(all.runs_of("a1"), 1U);
@@ -215,25 +215,27 @@
 {
     one_gateway all;
     all.put_replica(all.first, "plain", "draining");
-    all.change([](standins::fake_store& store) { store.put("servers", "odd", {{"Service", 7}}); });
+    all.modify_store([](standins::fake_store& store) { store.put("servers", "odd", {{"Service", 7}}); });
     std::this_thread::sleep_for(milliseconds(300));
-    const auto before = all.look<std::size_t>([&](standins::fake_store&) { return all.first.ran.size(); });
+    const auto before =
+        all.inspect_store<std::size_t>([&](standins::fake_store&) { return all.first.ran.size(); });
     for (int turn = 0; turn < 6; ++turn) {
         EXPECT_EQ(all.status_of(all.served.address(), make_request("/safe/1", "a" + std::to_string(turn))),
                   200);
     }
-    EXPECT_EQ(all.look<std::size_t>([&](standins::fake_store&) { return all.first.ran.size(); }), before);
+    EXPECT_EQ(all.inspect_store<std::size_t>([&](standins::fake_store&) { return all.first.ran.size(); }),
+              before);
 }
 
 TEST(forwarding, takes_over_new_configurations_also_after_the_history_was_lost)
 {
     one_gateway all;
-    all.change([](standins::fake_store& store) { store.forget_history(); });
-    auto next = all.look<nlohmann::json>(
+    all.modify_store([](standins::fake_store& store) { store.forget_history(); });
+    auto next = all.inspect_store<nlohmann::json>(
         [](standins::fake_store& store) { return store.find("config", "main")["Specification"]; });
     next["Version"] = 5;
     next["Routes"][0]["PathPrefix"] = "/moved/";
-    all.change([&](standins::fake_store& store) { store.put("config", "main", next); });
+    all.modify_store([&](standins::fake_store& store) { store.put("config", "main", next); });
     EXPECT_TRUE(deployment::eventually(
         [&] { return all.status_of(all.served.address(), make_request("/moved/1", "m")) == 200; }));
     EXPECT_EQ(all.status_of(all.served.address(), make_request("/safe/1", "a1")), 404);
@@ -262,10 +264,10 @@
         EXPECT_TRUE(deployment::eventually([&] { return served.ready(); }));
     }
     EXPECT_TRUE(deployment::eventually([&] {
-        return all.gateways.back()->ask<std::size_t>(
+        return all.gateways.back()->query<std::size_t>(
                    [](gateway& asked) { return asked.addresses().front_addresses.size(); }) == 4;
     }));
-    all.change([&](standins::fake_store&) {
+    all.modify_store([&](standins::fake_store&) {
         for (auto* replica : replicas) {
             replica->script.assign(20, replica_fault::reset);
         }
@@ -275,7 +277,7 @@
         std::size_t replicas = 0;
     };
     const auto seen = [&] {
-        return all.look<losses>([&](standins::fake_store&) {
+        return all.inspect_store<losses>([&](standins::fake_store&) {
             losses counted;
             for (const auto* replica : replicas) {
                 counted.runs += replica->ran.size();
@@ -297,7 +299,7 @@
     }
     EXPECT_EQ(seen().runs, before);
     // Others are served all the while.
-    all.change([&](standins::fake_store&) {
+    all.modify_store([&](standins::fake_store&) {
         for (auto* replica : replicas) {
             replica->script.clear();
         }
@@ -353,9 +355,9 @@
     ASSERT_TRUE(deployment::eventually([&] {
         return served.ready() && all.status_of(served.address(), make_stream_request("warm")) == 200;
     }));
-    all.change([&](standins::fake_store&) { one.script = {replica_fault::cut_stream}; });
+    all.modify_store([&](standins::fake_store&) { one.script = {replica_fault::cut_stream}; });
     const auto faults_left = [&] {
-        return all.look<bool>([&](standins::fake_store&) { return !one.script.empty(); });
+        return all.inspect_store<bool>([&](standins::fake_store&) { return !one.script.empty(); });
     };
     for (int turn = 0; turn < 8 || (turn < max_turns && faults_left()); ++turn) {
         const auto id = "a" + std::to_string(turn);
--- a/tests/gateway/scored_batch_tests.cpp
+++ b/tests/gateway/scored_batch_tests.cpp
@@ -16,7 +16,8 @@
 
     std::vector<standins::seen_request> scoring_runs()
     {
-        return look<std::vector<standins::seen_request>>([&](standins::fake_store&) { return scorer.ran; });
+        return inspect_store<std::vector<standins::seen_request>>(
+            [&](standins::fake_store&) { return scorer.ran; });
     }
 };
 
@@ -50,7 +51,7 @@
 {
     scored_batches all;
     auto& served = all.ready_gateway("a");
-    all.change([&](standins::fake_store&) {
+    all.modify_store([&](standins::fake_store&) {
         all.scorer.script = {replica_fault::reset, replica_fault::shed, replica_fault::other_attempt,
                              replica_fault::no_stamp, replica_fault::fail};
     });
@@ -64,7 +65,7 @@
 {
     scored_batches all;
     auto& served = all.ready_gateway("a");
-    all.change([&](standins::fake_store&) { all.scorer.always_fail = {"b1-s2"}; });
+    all.modify_store([&](standins::fake_store&) { all.scorer.always_fail = {"b1-s2"}; });
     EXPECT_EQ(all.status_of(served.address(), make_scored("b1")), 202);
     for (const auto& entry : all.read_all({served.address()}, "b1")) {
         const bool failed = entry["Id"] == "b1-i2";
@@ -97,11 +98,11 @@
     scored_batches all;
     auto& first = all.ready_gateway("a");
     auto& second = all.ready_gateway("b");
-    all.change([&](standins::fake_store&) { all.scorer.work_time = milliseconds(500); });
+    all.modify_store([&](standins::fake_store&) { all.scorer.work_time = milliseconds(500); });
     EXPECT_EQ(all.status_of(first.address(), make_scored("b1")), 202);
     EXPECT_TRUE(deployment::eventually([&] { return !all.scoring_runs().empty(); }));
     first.kill();
-    all.change([&](standins::fake_store&) { all.scorer.work_time = milliseconds(0); });
+    all.modify_store([&](standins::fake_store&) { all.scorer.work_time = milliseconds(0); });
     expect_scored(all.read_all({second.address()}, "b1"), "stamp-s1");
 }
 
@@ -110,7 +111,7 @@
 {
     scored_batches all;
     auto& served = all.ready_gateway("a");
-    all.change([&](standins::fake_store&) { all.scorer.work_time = milliseconds(400); });
+    all.modify_store([&](standins::fake_store&) { all.scorer.work_time = milliseconds(400); });
     EXPECT_EQ(all.status_of(served.address(), make_scored("b1")), 202);
     EXPECT_TRUE(deployment::eventually([&] { return !all.scoring_runs().empty(); }));
     EXPECT_EQ(all.status_of(served.address(), make_end("b1")), 200);
@@ -127,7 +128,7 @@
     scored_batches all;
     auto& served = all.ready_gateway("a");
     constexpr milliseconds work{120};
-    all.change([&](standins::fake_store&) { all.scorer.work_time = work; });
+    all.modify_store([&](standins::fake_store&) { all.scorer.work_time = work; });
     EXPECT_EQ(all.status_of(served.address(), make_scored("b1")), 202);
     expect_scored(all.read_all({served.address()}, "b1"), "stamp-s1");
     const auto runs = all.scoring_runs();
@@ -150,7 +151,9 @@
     const auto& response = std::get<net::http_response>(outcome);
     EXPECT_EQ(response.status, 503);
     EXPECT_NE(json::parse(response.body)["detail"].get<std::string>().find("b1-s3"), std::string::npos);
-    EXPECT_EQ(all.look<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }), 0U);
+    EXPECT_EQ(
+        all.inspect_store<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }),
+        0U);
 }
 
 } // namespace
--- a/tests/gateway/untrusted_input_tests.cpp
+++ b/tests/gateway/untrusted_input_tests.cpp
@@ -59,7 +59,7 @@
 {
     deployment all;
     all.add_replica("r1", "plain");
-    all.change([](standins::fake_store& store) {
+    all.modify_store([](standins::fake_store& store) {
         store.put("gateways", "other", {{"peer", 7}});
         store.put("gateways", "empty", json());
         store.put("leases", "weights", {{"holder", 3}});
@@ -67,8 +67,8 @@
     auto& served = all.add_gateway("a");
     EXPECT_TRUE(deployment::eventually([&] { return served.ready(); }));
     const auto lease_is_taken = [&] {
-        const auto lease =
-            all.look<json>([](standins::fake_store& store) { return store.find("leases", "weights"); });
+        const auto lease = all.inspect_store<json>(
+            [](standins::fake_store& store) { return store.find("leases", "weights"); });
         return lease["Specification"]["holder"].is_string();
     };
     EXPECT_TRUE(deployment::eventually(lease_is_taken));
--- a/tests/stop/batch_at_stop_tests.cpp
+++ b/tests/stop/batch_at_stop_tests.cpp
@@ -15,7 +15,7 @@
     auto& stopping = all.ready_gateway("a");
     auto& other = all.ready_gateway("b");
     ASSERT_TRUE(deployment::eventually([&] {
-        return stopping.ask<std::size_t>(
+        return stopping.query<std::size_t>(
                    [](gateway& asked) { return asked.addresses().front_addresses.size(); }) == 2;
     }));
     std::atomic<bool> stopped{false};
--- a/tests/stop/closing_service_tests.cpp
+++ b/tests/stop/closing_service_tests.cpp
@@ -79,7 +79,7 @@
 {
     slow_service running(seconds(3));
     raw_client client(running.address);
-    client.ask("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nhi");
+    client.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nhi");
     std::this_thread::sleep_for(milliseconds(50));
     http_response ending;
     ending.status = 502;
@@ -87,7 +87,7 @@
         running.service.close();
         running.service.give_up(ending);
     });
-    client.ask("ho");
+    client.send("ho");
     auto text = std::async(std::launch::async, [&] { return client.read_all(); });
     const bool answered = text.wait_for(milliseconds(400)) == std::future_status::ready;
     EXPECT_TRUE(answered);
@@ -101,7 +101,7 @@
     slow_service running(milliseconds(400));
     raw_client client(running.address);
     const std::string one = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
-    client.ask(one + one);
+    client.send(one + one);
     std::this_thread::sleep_for(milliseconds(50));
     running.on_loop([&] { running.service.drain(); });
     EXPECT_EQ(count(client.read_all(), "HTTP/1.1 "), 2U);
@@ -126,7 +126,7 @@
             co_await answer.finish();
         });
     raw_client client(value(service.open("127.0.0.1:0")));
-    client.ask("GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+    client.send("GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     begun.get_future().wait();
     http_response ending;
     ending.status = 502;
@@ -148,7 +148,7 @@
             co_await answer.send(std::move(response));
         });
     raw_client client(value(service.open("127.0.0.1:0")));
-    client.ask("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
+    client.send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
     std::this_thread::sleep_for(milliseconds(300));
     std::promise<std::size_t> held;
     boost::asio::post(thread.context(), [&] {
@@ -170,7 +170,7 @@
         std::this_thread::sleep_for(milliseconds(30));
         boost::asio::post(running.thread.context(), [] { std::this_thread::sleep_for(milliseconds(400)); });
         std::this_thread::sleep_for(milliseconds(100));
-        client.ask("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
+        client.send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
         EXPECT_EQ(count(client.read_all(), "HTTP/1.1 200"), 1U);
     }
 }
--- a/tests/stop/planned_stop_tests.cpp
+++ b/tests/stop/planned_stop_tests.cpp
@@ -37,7 +37,7 @@
         ASSERT_TRUE(deployment::eventually([this] {
             return served->ready() && world.status_of(address, make_request("/safe/warm", "warm")) == 200;
         }));
-        world.change([this](standins::fake_store&) { replica.work_time = work_time; });
+        world.modify_store([this](standins::fake_store&) { replica.work_time = work_time; });
     }
 
     /// Stops and destroys the gateway, as the program does.
@@ -63,7 +63,7 @@
 
     bool ran(const std::string& id)
     {
-        return world.look<bool>([&](standins::fake_store&) {
+        return world.inspect_store<bool>([&](standins::fake_store&) {
             return std::any_of(replica.ran.begin(), replica.ran.end(),
                                [&](const auto& run) { return run.attempt_id == id; });
         });
@@ -115,8 +115,8 @@
                 for (int turn = 0; !ended; ++turn) {
                     stop_client client(address);
                     if (client.connected()) {
-                        note(
-                            client.ask("/safe/x", "c" + std::to_string(caller) + "-" + std::to_string(turn)));
+                        note(client.send("/safe/x",
+                                         "c" + std::to_string(caller) + "-" + std::to_string(turn)));
                     }
                     std::this_thread::sleep_for(pause);
                 }
@@ -159,10 +159,10 @@
         callers.emplace_back([this, caller, began, apart] {
             stop_client client(address);
             if (caller % 2 == 0) {
-                note(client.ask("/safe/x", "k-early-" + std::to_string(caller)));
+                note(client.send("/safe/x", "k-early-" + std::to_string(caller)));
             }
             std::this_thread::sleep_until(began + all_connected + caller * apart);
-            note(client.ask("/safe/x", "k" + std::to_string(caller)));
+            note(client.send("/safe/x", "k" + std::to_string(caller)));
         });
     }
     std::this_thread::sleep_for(all_connected);
@@ -184,10 +184,10 @@
     ASSERT_TRUE(deployment::eventually([this] {
         return served->ready() && world.status_of(address, make_request("/safe/x", "warm-2")) == 200;
     }));
-    world.change([this](standins::fake_store&) { replica.script = {standins::replica_fault::silent}; });
+    world.modify_store([this](standins::fake_store&) { replica.script = {standins::replica_fault::silent}; });
     std::thread caller([this] {
         stop_client client(address);
-        note(client.ask("/once/x", "silent"));
+        note(client.send("/once/x", "silent"));
     });
     ASSERT_TRUE(deployment::eventually([this] { return ran("silent"); }));
     stop();
@@ -201,7 +201,7 @@
 // Guards against connections that the kernel takes for a process that serves nobody any more.
 TEST_F(connection_held_by_ended_gateway, is_refused_or_served)
 {
-    world.change([this](standins::fake_store&) { replica.work_time = milliseconds(0); });
+    world.modify_store([this](standins::fake_store&) { replica.work_time = milliseconds(0); });
     auto callers = call_on_new_connections(2, milliseconds(20));
     stop();
     for (auto& caller : callers) {
--- a/tests/stop/reload_tests.cpp
+++ b/tests/stop/reload_tests.cpp
@@ -49,7 +49,7 @@
 TEST_F(reloaded_gateway, hears_at_once_from_the_store_that_it_moves_to)
 {
     const auto address_before = value(old_store.open());
-    const auto first = world.look<nlohmann::json>(
+    const auto first = world.inspect_store<nlohmann::json>(
         [](standins::fake_store& store) { return store.find("config", "main")["Specification"]; });
     loop.run([&] { old_store.put("config", "main", first); });
     write_settings(address_before);
@@ -60,7 +60,7 @@
     ASSERT_TRUE(deployment::eventually([&] { return version_at(program) == 1; }));
     std::this_thread::sleep_for(milliseconds(800)); // it watches
 
-    world.change([](standins::fake_store& store) {
+    world.modify_store([](standins::fake_store& store) {
         for (int change = 0; change < earlier_changes; ++change) {
             store.put("things", "x", change);
         }
--- a/tests/stop/stop_client.cpp
+++ b/tests/stop/stop_client.cpp
@@ -16,10 +16,10 @@
     error_code failed;
     socket_.connect({boost::asio::ip::address_v4::loopback(), port}, failed);
     connected_ = !failed;
-    over_ = !connected_;
+    closed_ = !connected_;
 }
 
-sent_request stop_client::ask(const std::string& path, const std::string& id)
+sent_request stop_client::send(const std::string& path, const std::string& id)
 {
     sent_request seen;
     seen.id = id;
@@ -46,14 +46,14 @@
             seen.status = static_cast<int>(answer.result_int());
             seen.body = answer.body();
         }
-        over_ = failed || !answer.keep_alive();
+        closed_ = failed || !answer.keep_alive();
     }
     else {
-        over_ = true;
+        closed_ = true;
     }
     seen.ended_at = steady::now();
     seen.waited = seen.ended_at - began;
-    if (over_) {
+    if (closed_) {
         socket_.close(failed);
     }
     return seen;
--- a/tests/stop/stop_client.hpp
+++ b/tests/stop/stop_client.hpp
@@ -29,15 +29,15 @@
 
     bool connected() const { return connected_; }
     /// Sends a request and waits for its answer or the end of the connection.
-    sent_request ask(const std::string& path, const std::string& id);
+    sent_request send(const std::string& path, const std::string& id);
     /// The last answer ended the connection, or the gateway did.
-    bool over() const { return over_; }
+    bool closed() const { return closed_; }
 
 private:
     boost::asio::io_context context_;
     boost::asio::ip::tcp::socket socket_{context_};
     bool connected_ = false;
-    bool over_ = false;
+    bool closed_ = false;
 };
 
 } // namespace vanillagauge::tests
--- a/tests/stop/stopping_gateway_tests.cpp
+++ b/tests/stop/stopping_gateway_tests.cpp
@@ -36,7 +36,7 @@
     }
     bool ran(const std::string& id)
     {
-        return world.look<bool>([&](standins::fake_store&) {
+        return world.inspect_store<bool>([&](standins::fake_store&) {
             return std::any_of(replica.ran.begin(), replica.ran.end(),
                                [&](const auto& run) { return run.attempt_id == id; });
         });
@@ -64,7 +64,7 @@
 TEST_F(request_at_stopping_gateway, refuses_as_not_run_what_still_waits_for_a_replica)
 {
     start(milliseconds(1800));
-    world.change([this](standins::fake_store&) { replica.work_time = seconds(5); });
+    world.modify_store([this](standins::fake_store&) { replica.work_time = seconds(5); });
     constexpr int count = 24;
     std::vector<std::thread> callers;
     callers.reserve(count);
@@ -73,7 +73,7 @@
     for (int caller = 0; caller < count; ++caller) {
         callers.emplace_back([&, caller] {
             stop_client client(address);
-            auto request = client.ask("/once/x", "q" + std::to_string(caller));
+            auto request = client.send("/once/x", "q" + std::to_string(caller));
             const std::lock_guard lock(guard);
             seen.push_back(std::move(request));
         });
@@ -123,7 +123,7 @@
     std::this_thread::sleep_for(milliseconds(500));
     stop_client client(address);
     EXPECT_TRUE(client.connected());
-    EXPECT_EQ(client.ask("/safe/x", "early").status, 200);
+    EXPECT_EQ(client.send("/safe/x", "early").status, 200);
     stopping.join();
 }
 
@@ -133,12 +133,12 @@
     start(milliseconds(8000));
     // Keeps the gateway busy, as a batch does.
     std::atomic<bool> over{false};
-    world.change([this](standins::fake_store&) { replica.work_time = milliseconds(150); });
+    world.modify_store([this](standins::fake_store&) { replica.work_time = milliseconds(150); });
     const auto keep_busy = [&] {
         while (!over) {
             stop_client client(address);
             if (client.connected()) {
-                client.ask("/safe/x", "busy");
+                client.send("/safe/x", "busy");
             }
         }
     };
