--- a/src/gateway/service_gate.hpp
+++ b/src/gateway/admission_queue.hpp
@@ -1,7 +1,7 @@
 /// Admission to the replicas of one service: tasks wait here until a replica has room or they are turned
 /// away.
-#ifndef VANILLAGAUGE_GATEWAY_SERVICE_GATE_HPP
-#define VANILLAGAUGE_GATEWAY_SERVICE_GATE_HPP
+#ifndef VANILLAGAUGE_GATEWAY_ADMISSION_QUEUE_HPP
+#define VANILLAGAUGE_GATEWAY_ADMISSION_QUEUE_HPP
 
 #include "gateway/target_registry.hpp"
 #include "net/signal.hpp"
@@ -14,10 +14,10 @@
 
 namespace vanillagauge::gateway {
 
-class service_gate {
+class admission_queue {
 public:
-    service_gate(net::loop& loop, std::uint64_t seed, policy::pool_options options,
-                 policy::wait_policy patience);
+    admission_queue(net::loop& loop, std::uint64_t seed, policy::pool_options options,
+                    policy::wait_policy patience);
 
     /// Takes the service's present replicas.
     void update(const std::vector<target_ref>& targets, time_point now);
@@ -26,21 +26,21 @@
     /// Another replica for a request that was sent before; none where none has room or the budget is spent.
     std::optional<std::string> retry(const policy::work& item);
     /// Gives the place at a replica back.
-    void finish(const std::string& lifetime, const policy::attempt_report& report);
-    void on_load(const std::string& lifetime, const policy::load_report& load);
+    void finish(const std::string& instance_id, const policy::attempt_report& report);
+    void on_load(const std::string& instance_id, const policy::load_report& load);
     /// The client of a waiting request has gone.
-    void withdraw(std::uint64_t work_id);
+    void cancel(std::uint64_t work_id);
 
     /// How long to wait for an answer before another replica is asked.
     duration hedge_delay() const { return scheduler_.pool().hedge_delay(); }
 
 private:
-    struct waiting {
+    struct waiter {
         std::optional<result<std::string>> outcome;
     };
     policy::scheduler scheduler_;
     net::signal changed_;
-    std::map<std::uint64_t, waiting> waiting_;
+    std::map<std::uint64_t, waiter> waiters_;
 
     void advance();
 };
--- a/src/gateway/batch.cpp
+++ b/src/gateway/batch.cpp
@@ -1,6 +1,6 @@
 #include "gateway/batch.hpp"
 
-#include "gateway/foreign_json.hpp"
+#include "gateway/untrusted_json.hpp"
 
 #include <boost/beast/core/detail/base64.hpp>
 
@@ -112,7 +112,7 @@
 
 result<batch_header> header_from_json(const std::string& id, const json& value, const json& status)
 {
-    return decoded<batch_header>(
+    return decode<batch_header>(
         value, decode_error("the batch " + id), [&](const json& from) -> result<batch_header> {
             batch_header header;
             header.id = id;
@@ -155,7 +155,7 @@
 
 result<result_segment> segment_from_json(const std::string& name, const json& value)
 {
-    return decoded<result_segment>(
+    return decode<result_segment>(
         value, decode_error("the segment " + name), [&](const json& from) -> result<result_segment> {
             result_segment segment;
             const auto parsed = std::from_chars(name.data(), name.data() + name.size(), segment.first);
@@ -203,14 +203,14 @@
 
 result<std::vector<batch_item>> items_from_json(const json& part)
 {
-    return decoded<std::vector<batch_item>>(part, decode_error("a batch's items"),
-                                            [&](const json& from) -> result<std::vector<batch_item>> {
-                                                std::vector<batch_item> items;
-                                                for (const auto& entry : from.at("items")) {
-                                                    items.push_back(item_from_json(entry));
-                                                }
-                                                return items;
-                                            });
+    return decode<std::vector<batch_item>>(part, decode_error("a batch's items"),
+                                           [&](const json& from) -> result<std::vector<batch_item>> {
+                                               std::vector<batch_item> items;
+                                               for (const auto& entry : from.at("items")) {
+                                                   items.push_back(item_from_json(entry));
+                                               }
+                                               return items;
+                                           });
 }
 
 result<std::string> decode_base64(std::string_view text)
--- a/src/gateway/batch_runner_items.cpp
+++ b/src/gateway/batch_runner_items.cpp
@@ -49,7 +49,7 @@
     batch->item_runs[index] = run;
     observe::span hop(observe::trace_of(batch->progress.header().id), "item_run");
     hop.note("request_id", batch->progress.items()[index].item.id);
-    hop.note("replica", engine->info.lifetime());
+    hop.note("replica", engine->info.instance_id());
     auto taken = co_await engine->pool.take(steady::now() + connect_timeout);
     if (auto* connection = std::get_if<std::shared_ptr<net::http_connection>>(&taken)) {
         run->connection = *connection;
@@ -59,7 +59,7 @@
     }
     else {
         engine->back_off_until = steady::now() + failure_backoff;
-        batch->progress.release(index, {}, engine->info.lifetime());
+        batch->progress.release(index, {}, engine->info.instance_id());
     }
     --engine->streams;
     batch->item_runs.erase(index);
@@ -73,13 +73,13 @@
     const auto& item = batch.progress.items()[index].item;
     if (not_run) {
         engine->back_off_until = now + overload_backoff;
-        batch.progress.release(index, {}, engine->info.lifetime());
+        batch.progress.release(index, {}, engine->info.instance_id());
         return;
     }
     observe::log(observe::log_level::warning, "item_failed",
                  {{"request", item.id},
                   {"batch", batch.progress.header().id},
-                  {"replica", engine->info.lifetime()},
+                  {"replica", engine->info.instance_id()},
                   {"status", std::int64_t{status}}});
     constexpr int never = 422;
     constexpr int attempt_failed = 500;
@@ -87,7 +87,7 @@
         batch.progress.terminate(index);
         return;
     }
-    batch.progress.release(index, now + overload_backoff, engine->info.lifetime());
+    batch.progress.release(index, now + overload_backoff, engine->info.instance_id());
 }
 
 void batch_runner::log_completed(const batch_progress& progress, std::size_t index, const item_run& run) const
@@ -99,7 +99,7 @@
     observe::log(observe::log_level::info, "item_completed",
                  {{"request", entry.item.id},
                   {"batch", progress.header().id},
-                  {"replica", run.engine->info.lifetime()},
+                  {"replica", run.engine->info.instance_id()},
                   {"runs", std::int64_t{entry.runs}},
                   {"events", static_cast<std::int64_t>(entry.events)},
                   {"run_ms", std::int64_t{run_ms.count()}},
@@ -117,7 +117,7 @@
     int internal_errors = 0;
     int calls = 0;
     while (!batch->ended && entry.state == work_state::scoring) {
-        const auto ticket = std::make_shared<call_ticket>();
+        const auto ticket = std::make_shared<cancellation_token>();
         batch->scoring_calls[index] = ticket;
         const bool last = progress.open_in_group(index) <= 1;
         const auto urgency = last ? policy::priority::gate : policy::priority::member;
@@ -158,13 +158,13 @@
                                           std::shared_ptr<item_run> run)
 {
     auto& progress = batch->progress;
-    const auto instance_id = engine->info.lifetime();
+    const auto instance_id = engine->info.instance_id();
     const auto& item = progress.items()[index].item;
     attempt_request sent;
     sent.attempt_id = item.id;
     sent.replica_id = engine->info.id;
     sent.resume_after = progress.items()[index].last_event;
-    const auto request = protocol_.to_replica(item_request(progress.header(), item), sent);
+    const auto request = protocol_.replica_request(item_request(progress.header(), item), sent);
     auto& connection = *run->connection;
     const auto written = co_await connection.send(request, steady::now() + connect_timeout);
     net::http_result<net::response_head> read = net::http_failure{};
@@ -179,9 +179,9 @@
         progress.release(index, {}, instance_id);
         co_return;
     }
-    const auto marks = protocol_.marks(head->status, head->fields, sent.attempt_id);
+    const auto marks = protocol_.parse_metadata(head->status, head->fields, sent.attempt_id);
     if (marks.weights_version > 0) {
-        engine->saw_version(progress.header().model, marks.weights_version);
+        engine->record_version(progress.header().model, marks.weights_version);
     }
     const auto idle = head->keep_alive ? net::idle_time_of(head->fields, seconds(4)) : duration{0};
     if (head->status != 200 || marks.not_run) {
@@ -219,7 +219,7 @@
     auto& progress = batch->progress;
     auto& connection = *run->connection;
     const auto engine = run->engine;
-    const auto instance_id = engine->info.lifetime();
+    const auto instance_id = engine->info.instance_id();
     net::event_reader reader;
     while (!batch->ended && progress.items()[index].state == work_state::running) {
         const auto timeout = run->received_event ? event_timeout : first_event_timeout;
@@ -237,13 +237,13 @@
             }
             const auto now = steady::now();
             if (run->received_event) {
-                engine->saw_gap(now - run->last_event);
+                engine->record_event_gap(now - run->last_event);
             }
             run->received_event = true;
             run->last_event = now;
         }
         if (bytes->last && !reader.mid_event()) {
-            engine->saw_version(progress.header().model, progress.items()[index].current_version);
+            engine->record_version(progress.header().model, progress.items()[index].current_version);
             log_completed(progress, index, *run);
             progress.complete(index);
             if (progress.items()[index].state == work_state::scoring) {
--- a/src/gateway/batch_service_speculative.cpp
+++ b/src/gateway/batch_service_speculative.cpp
@@ -1,6 +1,6 @@
 // Batches that run before the store has them.
-#include "gateway/foreign_json.hpp"
 #include "gateway/internal/batch_attempt.hpp"
+#include "gateway/untrusted_json.hpp"
 #include "observe/log.hpp"
 
 #include <algorithm>
@@ -25,7 +25,7 @@
 result<batch_submission> submission_from_json(const json& from)
 {
     const error unreadable{error_code::invalid_argument, run_state::not_run, "a batch to run ahead"};
-    return decoded<batch_submission>(from, unreadable, [](const json& text) -> result<batch_submission> {
+    return decode<batch_submission>(from, unreadable, [](const json& text) -> result<batch_submission> {
         auto header = header_from_json(text.at("id").get<std::string>(), text.at("header"), json());
         if (!ok(header)) {
             return failure(header);
@@ -60,7 +60,7 @@
 // None where it is this gateway.
 std::optional<gateway_peer> batch_service::other_owner(const std::string& batch) const
 {
-    const auto ranked = fleet_.owners_of(batch);
+    const auto ranked = fleet_.ranked_owners(batch);
     for (const auto& peer : fleet_.peers()) {
         if (!ranked.empty() && peer.vm == ranked.front() && peer.vm != fleet_.self()) {
             return peer;
@@ -81,7 +81,7 @@
         co_return false;
     }
     json question{{"id", batch}};
-    const auto reply = co_await store_.ask(owner->relay_address, speculative_path, std::move(question),
+    const auto reply = co_await store_.call_peer(owner->relay_address, speculative_path, std::move(question),
                                            steady::now() + query_timeout);
     co_return !ok(reply) || member_or_null(value(reply), "runs") != json(false);
 }
@@ -99,7 +99,7 @@
     json question{{"id", header.id},
                   {"header", to_json(header)},
                   {"parts", to_parts(current->submission.items, max_part_bytes)}};
-    const auto reply = co_await store_.ask(owner->relay_address, speculative_path, std::move(question),
+    const auto reply = co_await store_.call_peer(owner->relay_address, speculative_path, std::move(question),
                                            steady::now() + speculation_call_timeout);
     if (ok(reply) && !current->storing_header) {
         header.owner_vm = owner->vm;
@@ -115,7 +115,7 @@
 {
     net::http_response response;
     const auto question = json::parse(request.body, nullptr, false);
-    const auto batch = text_or_empty(question, "id");
+    const auto batch = string_or_empty(question, "id");
     if (member_or_null(question, "header").is_null() && !batch.empty()) {
         response.body = json{{"runs", speculative_until_.contains(batch)}}.dump();
         return response;
@@ -162,7 +162,7 @@
     current->submission = std::move(submission);
     while (!headers_.objects().contains(id) && steady::now() < std::min(last, speculative_until_[id])) {
         // A short question finds the store's return sooner than a write that hangs.
-        const auto back = co_await store_.check(batch_kind, store_check_timeout);
+        const auto back = co_await store_.ping(batch_kind, store_check_timeout);
         if (!ok(back)) {
             co_await net::sleep_for(loop_, retry_interval);
             continue;
--- a/src/gateway/batch_texts.cpp
+++ b/src/gateway/batch_texts.cpp
@@ -1,6 +1,6 @@
 #include "gateway/batch_texts.hpp"
 
-#include "gateway/foreign_json.hpp"
+#include "gateway/untrusted_json.hpp"
 
 #include <algorithm>
 
@@ -77,7 +77,7 @@
 result<std::vector<saved_text>> texts_from_json(const json& value)
 {
     const error unreadable{error_code::invalid_argument, run_state::not_run, "the kept texts of a batch"};
-    return decoded<std::vector<saved_text>>(value, unreadable,
+    return decode<std::vector<saved_text>>(value, unreadable,
                                             [](const json& from) -> result<std::vector<saved_text>> {
                                                 std::vector<saved_text> texts;
                                                 for (const auto& entry : from.at("texts")) {
--- a/src/gateway/internal/batch_run.hpp
+++ b/src/gateway/internal/batch_run.hpp
@@ -25,7 +25,7 @@
     batch_progress progress;
     net::signal changed;
     std::map<std::size_t, std::shared_ptr<item_run>> item_runs;        ///< by the item's place
-    std::map<std::size_t, std::shared_ptr<call_ticket>> scoring_calls; ///< by the item's place
+    std::map<std::size_t, std::shared_ptr<cancellation_token>> scoring_calls; ///< by the item's place
     bool stored = true;                                                ///< the store has the batch
     bool ended = false;
     bool publishing = false;
--- a/src/gateway/weights_updater.cpp
+++ b/src/gateway/weights_updater.cpp
@@ -1,6 +1,6 @@
 #include "gateway/weights_updater.hpp"
 
-#include "gateway/foreign_json.hpp"
+#include "gateway/untrusted_json.hpp"
 #include "observe/log.hpp"
 #include "policy/weight_load_plan.hpp"
 
@@ -57,10 +57,10 @@
 policy::stored_lease lease_from(const stored_object& stored)
 {
     policy::stored_lease lease;
-    lease.holder = text_or_empty(stored.value, "holder");
-    lease.previous_holder = text_or_empty(stored.value, "former");
+    lease.holder = string_or_empty(stored.value, "holder");
+    lease.previous_holder = string_or_empty(stored.value, "former");
     lease.version = stored.revision;
-    lease.takeover_wait = milliseconds{whole_or(stored.value, "acts_in_ms", default_order_delay.count())};
+    lease.takeover_wait = milliseconds{integer_or(stored.value, "acts_in_ms", default_order_delay.count())};
     return lease;
 }
 
@@ -149,7 +149,7 @@
     const auto peers = fleet_.peers();
     const bool holder_alive = std::any_of(peers.begin(), peers.end(),
                                           [&](const gateway_peer& peer) { return peer.vm == holder_vm; });
-    const auto ranked = fleet_.owners_of(lease_name);
+    const auto ranked = fleet_.ranked_owners(lease_name);
     const bool first = !ranked.empty() && ranked.front() == fleet_.self();
     const bool holder_went = holder_alive_ && !holder_alive;
     const bool became_first = first && !ranked_first_;
@@ -279,7 +279,7 @@
         std::vector<policy::model_engine> views;
         for (const auto& engine : engines[service]) {
             policy::model_engine view;
-            view.id = engine->info.lifetime();
+            view.id = engine->info.instance_id();
             for (const auto& [model, version] : versions) {
                 view.versions[model] = engine->version_of(model);
             }
@@ -325,7 +325,7 @@
         engine->pool.give_back(connection, seconds(1));
         co_return error{error_code::conflict, run_state::not_run, "the lease has ended"};
     }
-    order.fencing = *number;
+    order.fencing_token = *number;
     const auto request = protocol_.order_request(engine->info, order);
     const auto response = co_await exchange_with(engine, connection, request, until);
     if (!ok(response)) {
@@ -339,7 +339,7 @@
 // that a second one cannot be carried out beside it.
 net::task<void> weights_updater::load(target_ref engine, std::string model, std::uint64_t version)
 {
-    const auto instance_id = engine->info.lifetime();
+    const auto instance_id = engine->info.instance_id();
     const auto began = steady::now();
     auto pause = refused_backoff;
     std::string outcome = "failed";
@@ -349,7 +349,7 @@
         const auto found = value(report).weights.find(model);
         const auto has = found == value(report).weights.end() ? std::uint64_t{0} : found->second;
         if (has >= version) {
-            engine->saw_version(model, has);
+            engine->record_version(model, has);
             outcome = "already there";
         }
         else if (value(report).busy) {
@@ -363,14 +363,14 @@
             order.mode =
                 single_version(engine->info.service) ? load_mode::finish_first : load_mode::keep_running;
             order.holder = order_holder_;
-            order.expected_orders = value(report).orders_taken;
+            order.expected_orders = value(report).orders_accepted;
             const auto answer = co_await send_order(engine, order);
             if (!ok(answer)) {
                 pause = failure(answer).ran == run_state::not_run ? refused_backoff : unanswered_backoff;
                 outcome = describe(failure(answer));
             }
             else if (value(answer) == order_outcome::already_done) {
-                engine->saw_version(model, version);
+                engine->record_version(model, version);
                 outcome = "already there";
             }
             else if (value(answer) == order_outcome::accepted) {
@@ -393,7 +393,7 @@
         const auto now_has = co_await request_report(engine);
         if (ok(now_has)) {
             const auto found = value(now_has).weights.find(model);
-            engine->saw_version(model,
+            engine->record_version(model,
                                 found == value(now_has).weights.end() ? std::uint64_t{0} : found->second);
         }
         if (engine->version_of(model) < version) {
--- a/tests/gateway/batch_tests.cpp
+++ b/tests/gateway/batch_tests.cpp
@@ -13,7 +13,7 @@
 {
     for (auto* served : gateways) {
         EXPECT_TRUE(deployment::eventually([&] {
-            return served->ready() && served->ask<std::size_t>([](gateway& instance) {
+            return served->ready() && served->query<std::size_t>([](gateway& instance) {
                 return instance.addresses().front_addresses.size();
             }) == gateways.size();
         }));
@@ -41,11 +41,11 @@
     batch_deployment cluster;
     auto& served = cluster.ready_gateway("a");
     EXPECT_EQ(cluster.status_of(served.address(), make_read("none", 0)), 404);
-    cluster.change([](standins::fake_store& store) { store.faults.refuse = true; });
+    cluster.modify_store([](standins::fake_store& store) { store.faults.refuse = true; });
     EXPECT_EQ(cluster.status_of(served.address(), make_read("none", 0)), 503);
     EXPECT_EQ(cluster.status_of(served.address(), make_batch("b1")), 503);
-    cluster.change([](standins::fake_store& store) { store.faults.refuse = false; });
-    EXPECT_EQ(cluster.look<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }),
+    cluster.modify_store([](standins::fake_store& store) { store.faults.refuse = false; });
+    EXPECT_EQ(cluster.inspect_store<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }),
               0U);
 }
 
@@ -55,7 +55,7 @@
 {
     batch_deployment cluster;
     auto& served = cluster.ready_gateway("a");
-    cluster.change([](standins::fake_store& store) { store.faults.lose_answers = 2; });
+    cluster.modify_store([](standins::fake_store& store) { store.faults.lose_answers = 2; });
     EXPECT_EQ(cluster.status_of(served.address(), make_batch("b1")), 202);
     expect_complete(cluster.read_all({served.address()}, "b1"));
 }
@@ -66,7 +66,7 @@
     batch_deployment cluster;
     auto& served = cluster.ready_gateway("a");
     EXPECT_EQ(cluster.status_of(served.address(), make_batch("b1")), 202);
-    cluster.change([](standins::fake_store& store) {
+    cluster.modify_store([](standins::fake_store& store) {
         store.faults.delay_writes = 2;
         store.faults.write_delay = milliseconds(400);
     });
@@ -79,7 +79,7 @@
 {
     batch_deployment cluster;
     auto& served = cluster.ready_gateway("a");
-    cluster.change([&](standins::fake_store&) {
+    cluster.modify_store([&](standins::fake_store&) {
         cluster.one.script = {replica_fault::cut_stream, replica_fault::shed, replica_fault::fail};
         cluster.two.script = {replica_fault::reset, replica_fault::cut_stream, replica_fault::other_attempt};
     });
@@ -91,7 +91,7 @@
 {
     batch_deployment cluster;
     auto& served = cluster.ready_gateway("a");
-    cluster.change([&](standins::fake_store&) {
+    cluster.modify_store([&](standins::fake_store&) {
         cluster.one.script = {replica_fault::never};
         cluster.two.script = {replica_fault::never};
     });
@@ -111,7 +111,7 @@
     batch_deployment cluster;
     auto& first = cluster.ready_gateway("a");
     auto& second = cluster.ready_gateway("b");
-    cluster.change([&](standins::fake_store&) {
+    cluster.modify_store([&](standins::fake_store&) {
         cluster.one.event_time = milliseconds(150);
         cluster.two.event_time = milliseconds(150);
     });
@@ -131,19 +131,19 @@
     auto& second = cluster.add_gateway_at_second("b");
     expect_discovered({&first, &second});
     const auto runs = [&] {
-        return cluster.look<std::size_t>(
+        return cluster.inspect_store<std::size_t>(
             [&](standins::fake_store&) { return cluster.one.ran.size() + cluster.two.ran.size(); });
     };
-    cluster.change([](standins::fake_store& store) { store.faults.second_silent = true; });
+    cluster.modify_store([](standins::fake_store& store) { store.faults.second_silent = true; });
     constexpr milliseconds timeout{1300};
     for (auto* served : {&first, &second}) {
         const auto answer = cluster.send(served->address(), make_batch("b1"), timeout);
         EXPECT_FALSE(std::holds_alternative<net::http_response>(answer));
     }
     EXPECT_TRUE(deployment::eventually([&] { return runs() == item_count; }));
-    EXPECT_EQ(cluster.look<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }),
+    EXPECT_EQ(cluster.inspect_store<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }),
               0U);
-    cluster.change([](standins::fake_store& store) { store.faults.second_silent = false; });
+    cluster.modify_store([](standins::fake_store& store) { store.faults.second_silent = false; });
     EXPECT_TRUE(
         deployment::eventually([&] { return cluster.status_of(second.address(), make_batch("b1")) == 202; }));
     expect_complete(cluster.read_all({second.address()}, "b1"));
@@ -158,9 +158,9 @@
     auto& first = cluster.add_gateway_at_second("a");
     auto& second = cluster.add_gateway_at_second("b");
     expect_discovered({&first, &second});
-    cluster.change([](standins::fake_store& store) { store.faults.second_silent = true; });
+    cluster.modify_store([](standins::fake_store& store) { store.faults.second_silent = true; });
     cluster.send(first.address(), make_batch("b1"), milliseconds(1300));
-    cluster.change([](standins::fake_store& store) {
+    cluster.modify_store([](standins::fake_store& store) {
         store.faults.second_silent = false;
         store.faults.refuse = true;
     });
@@ -177,16 +177,16 @@
     batch_deployment cluster;
     auto& served = cluster.add_gateway_at_second("a");
     EXPECT_TRUE(deployment::eventually([&] { return served.ready(); }));
-    cluster.change([](standins::fake_store& store) { store.faults.second_silent = true; });
+    cluster.modify_store([](standins::fake_store& store) { store.faults.second_silent = true; });
     cluster.send(served.address(), make_batch("b1", 9), milliseconds(1300));
     const auto running = [&] {
-        return served.ask<std::size_t>([](gateway& instance) { return instance.batches_running(); });
+        return served.query<std::size_t>([](gateway& instance) { return instance.batches_running(); });
     };
     EXPECT_EQ(running(), 1U);
     EXPECT_TRUE(deployment::eventually([&] { return running() == 0; }));
-    cluster.change([](standins::fake_store& store) { store.faults.second_silent = false; });
+    cluster.modify_store([](standins::fake_store& store) { store.faults.second_silent = false; });
     std::this_thread::sleep_for(milliseconds(800));
-    EXPECT_EQ(cluster.look<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }),
+    EXPECT_EQ(cluster.inspect_store<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }),
               0U);
 }
 
@@ -197,7 +197,7 @@
     batch_deployment cluster;
     auto& first = cluster.ready_gateway("a");
     auto& second = cluster.ready_gateway("b");
-    cluster.change([&](standins::fake_store&) {
+    cluster.modify_store([&](standins::fake_store&) {
         for (auto* engine : {&cluster.one, &cluster.two}) {
             engine->events = 40;
             engine->event_time = milliseconds(60);
@@ -205,13 +205,13 @@
     });
     EXPECT_EQ(cluster.status_of(first.address(), make_batch("b1")), 202);
     EXPECT_TRUE(deployment::eventually([&] {
-        return cluster.look<std::size_t>(
+        return cluster.inspect_store<std::size_t>(
                    [](standins::fake_store& store) { return store.count("batch-texts"); }) == 1;
     }));
     first.kill();
     const auto results = cluster.read_all({second.address()}, "b1");
     ASSERT_EQ(results.size(), item_count);
-    const auto resumed = cluster.look<std::size_t>([&](standins::fake_store&) {
+    const auto resumed = cluster.inspect_store<std::size_t>([&](standins::fake_store&) {
         std::size_t count = 0;
         for (const auto* engine : {&cluster.one, &cluster.two}) {
             count += static_cast<std::size_t>(
@@ -233,7 +233,7 @@
 {
     batch_deployment cluster;
     auto& first = cluster.ready_gateway("a");
-    cluster.change([&](standins::fake_store&) {
+    cluster.modify_store([&](standins::fake_store&) {
         cluster.one.event_time = milliseconds(200);
         cluster.two.event_time = milliseconds(200);
     });
@@ -241,7 +241,7 @@
     first.kill();
     auto& second = cluster.ready_gateway("b");
     std::this_thread::sleep_for(milliseconds(300));
-    EXPECT_EQ(second.ask<std::size_t>([](gateway& served) { return served.batches_running(); }), 0U);
+    EXPECT_EQ(second.query<std::size_t>([](gateway& served) { return served.batches_running(); }), 0U);
     expect_complete(cluster.read_all({second.address()}, "b1"));
 }
 
@@ -251,7 +251,7 @@
 {
     batch_deployment cluster;
     auto& before = cluster.ready_gateway("a");
-    cluster.change([&](standins::fake_store&) {
+    cluster.modify_store([&](standins::fake_store&) {
         cluster.one.event_time = milliseconds(400);
         cluster.two.event_time = milliseconds(400);
     });
@@ -260,7 +260,7 @@
     auto& after = cluster.ready_gateway("a");
     const auto began = steady::now();
     EXPECT_TRUE(deployment::eventually([&] {
-        return after.ask<std::size_t>([](gateway& served) { return served.batches_running(); }) == 1;
+        return after.query<std::size_t>([](gateway& served) { return served.batches_running(); }) == 1;
     }));
     EXPECT_LT(steady::now() - began, milliseconds(1200));
     expect_complete(cluster.read_all({after.address()}, "b1"));
@@ -285,7 +285,7 @@
     batch_deployment cluster;
     auto& first = cluster.ready_gateway("a");
     auto& second = cluster.ready_gateway("b");
-    cluster.change([&](standins::fake_store&) {
+    cluster.modify_store([&](standins::fake_store&) {
         cluster.one.event_time = milliseconds(300);
         cluster.two.event_time = milliseconds(300);
     });
@@ -293,10 +293,10 @@
     EXPECT_EQ(cluster.status_of(second.address(), make_end("b1")), 200);
     EXPECT_EQ(cluster.status_of(second.address(), make_end("b1")), 200);
     EXPECT_TRUE(deployment::eventually([&] {
-        return first.ask<std::size_t>([](gateway& served) { return served.batches_running(); }) == 0;
+        return first.query<std::size_t>([](gateway& served) { return served.batches_running(); }) == 0;
     }));
     const auto runs = [&] {
-        return cluster.look<std::size_t>(
+        return cluster.inspect_store<std::size_t>(
             [&](standins::fake_store&) { return cluster.one.ran.size() + cluster.two.ran.size(); });
     };
     const auto before = runs();
@@ -311,7 +311,7 @@
     batch_deployment cluster;
     auto& served = cluster.ready_gateway("a");
     EXPECT_EQ(cluster.status_of(served.address(), make_batch("b1", 2)), 202);
-    cluster.change([](standins::fake_store& store) {
+    cluster.modify_store([](standins::fake_store& store) {
         store.put("versions", "m", {{"Model", "m"}, {"Version", 2}});
     });
     const auto results = cluster.read_all({served.address()}, "b1");
@@ -320,7 +320,7 @@
         EXPECT_EQ(entry.at("Versions"), json::array({2}));
     }
     EXPECT_TRUE(deployment::eventually([&] {
-        return cluster.look<std::size_t>([&](standins::fake_store&) {
+        return cluster.inspect_store<std::size_t>([&](standins::fake_store&) {
             return cluster.one.orders.size() + cluster.two.orders.size();
         }) == 2;
     }));
@@ -335,7 +335,7 @@
     EXPECT_EQ(cluster.status_of(served.address(), make_batch("b1", 9)), 202);
     EXPECT_EQ(cluster.body_of(served.address(), make_read("b1", 0))["Total"], item_count);
     const auto lists = [&] {
-        return cluster.look<std::uint64_t>(
+        return cluster.inspect_store<std::uint64_t>(
             [](standins::fake_store& store) { return store.list_calls("results-b1"); });
     };
     const auto before = lists();
@@ -344,7 +344,7 @@
     }
     EXPECT_EQ(lists(), before);
     // Without its history the store can't tell what came since: the listing does.
-    cluster.change([](standins::fake_store& store) {
+    cluster.modify_store([](standins::fake_store& store) {
         store.put(
             "results-b1", "00000000",
             {{"writer", "x"},
@@ -364,11 +364,14 @@
 {
     batch_deployment cluster;
     auto& served = cluster.ready_gateway("a");
-    cluster.change([](standins::fake_store& store) { store.put("results-b9", "00000000", {{"writer", 7}}); });
+    cluster.modify_store([](standins::fake_store& store) {
+        store.put("results-b9", "00000000", {{"writer", 7}});
+    });
     EXPECT_EQ(cluster.status_of(served.address(), make_batch("b9")), 202);
     std::this_thread::sleep_for(seconds(2));
     const auto calls = [&] {
-        return cluster.look<std::uint64_t>([](standins::fake_store& store) { return store.write_calls(); });
+        return cluster.inspect_store<std::uint64_t>(
+            [](standins::fake_store& store) { return store.write_calls(); });
     };
     const auto before = calls();
     std::this_thread::sleep_for(seconds(1));
@@ -379,10 +382,11 @@
 {
     batch_deployment cluster;
     cluster.ready_gateway("a");
-    cluster.change([](standins::fake_store& store) { store.put("retirements", "a", {{"DurationS", 8}}); });
+    cluster.modify_store([](standins::fake_store& store) { store.put("retirements", "a", {{"DurationS", 8}}); });
     EXPECT_TRUE(deployment::eventually([&] {
         const auto entry =
-            cluster.look<json>([](standins::fake_store& store) { return store.find("retirements", "a"); });
+            cluster.inspect_store<json>(
+            [](standins::fake_store& store) { return store.find("retirements", "a"); });
         return entry.value("Status", json()) == json{{"State", "completed"}};
     }));
 }
--- a/tests/gateway/feed_hub_tests.cpp
+++ b/tests/gateway/feed_sync_tests.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// A configuration is to be in force everywhere this long after the store has acknowledged it.
-constexpr milliseconds time_to_apply{2000};
+constexpr milliseconds max_apply_time{2000};
 
 struct four_gateways : deployment {
     standins::fake_replica& replica = add_replica("r1", "plain");
@@ -28,7 +28,7 @@
 
     static std::size_t addresses_known(running_gateway& served)
     {
-        return served.ask<std::size_t>(
+        return served.query<std::size_t>(
             [](gateway& asked) { return asked.addresses().front_addresses.size(); });
     }
 
@@ -50,19 +50,19 @@
 // The store falls silent to three of four gateways, on connections that look sound, whichever of them watch.
 // The operator adds a route. A gateway that took a watcher's "nothing new" for news would answer its callers
 // 404 until the watcher's connection is found dead.
-TEST(feed_hub, learns_of_a_configuration_while_the_store_is_silent_to_the_watchers)
+TEST(feed_sync, learns_of_a_configuration_while_the_store_is_silent_to_the_watchers)
 {
     for (const std::set<int>& silent : {std::set{1, 2, 3}, {0, 2, 3}, {0, 1, 3}, {0, 1, 2}}) {
         four_gateways all(silent);
-        all.change([](standins::fake_store& store) { store.faults.second_silent = true; });
+        all.modify_store([](standins::fake_store& store) { store.faults.second_silent = true; });
         all.put_configuration(2);
-        EXPECT_LT(all.time_until_all_serve_the_added_route(), time_to_apply);
+        EXPECT_LT(all.time_until_all_serve_the_added_route(), max_apply_time);
     }
 }
 
 std::size_t replicas_known(running_gateway& served)
 {
-    const auto page = served.ask<std::string>([](gateway& asked) { return asked.metrics_page(); });
+    const auto page = served.query<std::string>([](gateway& asked) { return asked.metrics_page(); });
     const std::string series = "feed_objects{kind=\"servers\"} ";
     const auto at = page.find(series);
     return at == std::string::npos ? 0 : std::stoul(page.substr(at + series.size()));
@@ -70,7 +70,7 @@
 
 // Engines load new weights, and each one's entry changes. VMs that serve no callers took all of it, more than
 // anything else they sent and received, and used none. Those that watch for the others need it.
-TEST(feed_hub, tells_vms_without_callers_only_what_they_use)
+TEST(feed_sync, tells_vms_without_callers_only_what_they_use)
 {
     deployment all;
     all.add_replica("r1", "plain");
@@ -86,9 +86,11 @@
     EXPECT_TRUE(deployment::eventually([&] { return front.ready() && knowing() >= 2; }));
     EXPECT_EQ(all.status_of(front.address(), make_request("/safe/1", "a1")), 200);
     for (const auto* vm : {"s1", "s2", "s3", "s4", "s5"}) {
-        all.change([vm](standins::fake_store& store) { store.put("retirements", vm, {{"DurationS", 8}}); });
+        all.modify_store([vm](standins::fake_store& store) {
+            store.put("retirements", vm, {{"DurationS", 8}});
+        });
         EXPECT_TRUE(deployment::eventually([&] {
-            const auto entry = all.look<nlohmann::json>(
+            const auto entry = all.inspect_store<nlohmann::json>(
                 [vm](standins::fake_store& store) { return store.find("retirements", vm); });
             return entry.contains("Status");
         }));
@@ -100,21 +102,21 @@
 }
 
 // VMs that start at the same moment, with no seed that lives, find each other through the store.
-TEST(feed_hub, meets_gateways_that_started_at_the_same_moment)
+TEST(feed_sync, meets_gateways_that_started_at_the_same_moment)
 {
     for (int turn = 0; turn < 3; ++turn) {
         four_gateways all;
     }
 }
 
-TEST(feed_hub, learns_of_a_configuration_while_the_store_refuses_everybody_for_a_moment)
+TEST(feed_sync, learns_of_a_configuration_while_the_store_refuses_everybody_for_a_moment)
 {
     four_gateways all;
-    all.change([](standins::fake_store& store) { store.faults.refuse = true; });
+    all.modify_store([](standins::fake_store& store) { store.faults.refuse = true; });
     std::this_thread::sleep_for(milliseconds(1500));
-    all.change([](standins::fake_store& store) { store.faults.refuse = false; });
+    all.modify_store([](standins::fake_store& store) { store.faults.refuse = false; });
     all.put_configuration(2);
-    EXPECT_LT(all.time_until_all_serve_the_added_route(), time_to_apply);
+    EXPECT_LT(all.time_until_all_serve_the_added_route(), max_apply_time);
 }
 
 } // namespace
--- a/tests/gateway/scored_batch_tests.cpp
+++ b/tests/gateway/scored_batch_tests.cpp
@@ -16,7 +16,8 @@
 
     std::vector<standins::seen_request> scoring_runs()
     {
-        return look<std::vector<standins::seen_request>>([&](standins::fake_store&) { return scorer.ran; });
+        return inspect_store<std::vector<standins::seen_request>>(
+            [&](standins::fake_store&) { return scorer.ran; });
     }
 };
 
@@ -50,7 +51,7 @@
 {
     scored_deployment cluster;
     auto& served = cluster.ready_gateway("a");
-    cluster.change([&](standins::fake_store&) {
+    cluster.modify_store([&](standins::fake_store&) {
         cluster.scorer.script = {replica_fault::reset, replica_fault::shed, replica_fault::other_attempt,
                                  replica_fault::no_stamp, replica_fault::fail};
     });
@@ -64,7 +65,7 @@
 {
     scored_deployment cluster;
     auto& served = cluster.ready_gateway("a");
-    cluster.change([&](standins::fake_store&) { cluster.scorer.always_fail = {"b1-s2"}; });
+    cluster.modify_store([&](standins::fake_store&) { cluster.scorer.always_fail = {"b1-s2"}; });
     EXPECT_EQ(cluster.status_of(served.address(), make_scored("b1")), 202);
     for (const auto& entry : cluster.read_all({served.address()}, "b1")) {
         const bool failed = entry["Id"] == "b1-i2";
@@ -97,11 +98,11 @@
     scored_deployment cluster;
     auto& first = cluster.ready_gateway("a");
     auto& second = cluster.ready_gateway("b");
-    cluster.change([&](standins::fake_store&) { cluster.scorer.work_time = milliseconds(500); });
+    cluster.modify_store([&](standins::fake_store&) { cluster.scorer.work_time = milliseconds(500); });
     EXPECT_EQ(cluster.status_of(first.address(), make_scored("b1")), 202);
     EXPECT_TRUE(deployment::eventually([&] { return !cluster.scoring_runs().empty(); }));
     first.kill();
-    cluster.change([&](standins::fake_store&) { cluster.scorer.work_time = milliseconds(0); });
+    cluster.modify_store([&](standins::fake_store&) { cluster.scorer.work_time = milliseconds(0); });
     expect_scored(cluster.read_all({second.address()}, "b1"), "stamp-s1");
 }
 
@@ -110,7 +111,7 @@
 {
     scored_deployment cluster;
     auto& served = cluster.ready_gateway("a");
-    cluster.change([&](standins::fake_store&) { cluster.scorer.work_time = milliseconds(400); });
+    cluster.modify_store([&](standins::fake_store&) { cluster.scorer.work_time = milliseconds(400); });
     EXPECT_EQ(cluster.status_of(served.address(), make_scored("b1")), 202);
     EXPECT_TRUE(deployment::eventually([&] { return !cluster.scoring_runs().empty(); }));
     EXPECT_EQ(cluster.status_of(served.address(), make_end("b1")), 200);
@@ -127,7 +128,7 @@
     scored_deployment cluster;
     auto& served = cluster.ready_gateway("a");
     constexpr milliseconds work{120};
-    cluster.change([&](standins::fake_store&) { cluster.scorer.work_time = work; });
+    cluster.modify_store([&](standins::fake_store&) { cluster.scorer.work_time = work; });
     EXPECT_EQ(cluster.status_of(served.address(), make_scored("b1")), 202);
     expect_scored(cluster.read_all({served.address()}, "b1"), "stamp-s1");
     const auto runs = cluster.scoring_runs();
@@ -150,7 +151,7 @@
     const auto& response = std::get<net::http_response>(outcome);
     EXPECT_EQ(response.status, 503);
     EXPECT_NE(json::parse(response.body)["detail"].get<std::string>().find("b1-s3"), std::string::npos);
-    EXPECT_EQ(cluster.look<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }),
+    EXPECT_EQ(cluster.inspect_store<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }),
               0U);
 }
 
