--- a/src/policy/background_capacity.cpp
+++ b/src/policy/background_capacity.cpp
@@ -5,14 +5,14 @@
 namespace vanillagauge::policy {
 namespace {
 
-/// Several gateways run batches at the same time, and callers need the rest.
+/// Several gateways may run batches at once; the rest is left to interactive callers.
 constexpr int gateway_share = 3;
 
 } // namespace
 
-// Load pattern: the texts of a step become whole within a second or two, and each then wants a long call to a
-// service whose callers want short ones. Without a bound the calls fill every slot of the service, and a
-// caller that is due in a fraction of one call waits behind several of them.
+// Load pattern: the texts of a step complete within a second or two, and each needs a long call to a service
+// that also serves short interactive calls. Unbounded, the long calls fill every slot and interactive callers
+// miss their deadlines.
 int background_capacity(int slots)
 {
     return std::max(1, slots / gateway_share);
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -8,40 +8,38 @@
 
 constexpr double min_limit = 1;
 constexpr double max_limit = 512;
-/// A window closes with this many answers once it is this old.
+/// A window closes once it is this old and has this many samples.
 constexpr std::size_t min_samples = 8;
 constexpr milliseconds window_time{100};
-/// Latency may grow by half before the limit falls: batching and noise on small VMs cost as much without any
+/// Latency may grow by half before the limit falls: batching and noise on small VMs add as much without a
 /// queue at the target.
 constexpr double tolerance = 1.5;
-/// One window never takes away more than half, so that one bad window is mended by a few good ones.
+/// One window halves the limit at most, so a few good windows make up for a bad one.
 constexpr double min_gradient = 0.5;
 constexpr double smoothing = 0.3;
 constexpr double failure_cut = 0.7;
-/// A limit that is hardly used says nothing about what the target could take.
+/// Latency at a lower use says nothing about a higher limit.
 constexpr double used_share = 0.75;
 constexpr seconds baseline_life{10};
-/// A first baseline, or one that a probe brought down by this much, was measured with a queue at the target
-/// (the process started under overload): the next probe comes sooner.
+/// A first baseline, or one that a probe lowered by this much, was measured with a queue at the target (the
+/// process started under overload): the next probe comes sooner.
 constexpr milliseconds suspect_life{500};
 constexpr double suspect_share = 0.9;
-/// A limit settles near twice what the target serves at once, so a quarter of it leaves no queue there; each
-/// probe costs about 1% of the capacity of ten seconds. With a half, a limit found under overload would fall
-/// too slowly to be of use.
+/// The limit settles near twice the target's parallelism, so a quarter of it leaves no queue; each probe
+/// costs about 1% of ten seconds' capacity. With a half, a limit found under overload would fall too slowly.
 constexpr double probe_share = 0.25;
 
 } // namespace
 
-// Load pattern: more work than a target serves, and a target that becomes slower. Without a limit the queue
-// forms inside the target, where no priority holds and nothing can be turned away: every answer is late and
-// work is done for callers who have left. A fixed limit is wrong as soon as a target changes.
+// Load pattern: an overloaded target, or one that becomes slower. Without a limit the queue forms inside the
+// target, where priorities don't apply and nothing can be refused: all responses are late, many for callers
+// that have disconnected. A fixed limit is wrong as soon as a target changes.
 //
-// The limit follows the ratio between the latency without a queue (`baseline_`) and the present median; the
-// square root is the queue that we allow in order to find out that a target could take more. The median of a
-// window leaves a few long requests among short ones out of account. Under steady overload the baseline could
-// never be seen again, and one that was merely forgotten would creep up with the queue; so every ten seconds
-// one window runs at a quarter of the limit, which empties the target's queue, and measures the baseline
-// afresh.
+// The limit follows the ratio of the queue-free latency (`baseline_`) to the current median; the square root
+// is the queue allowed in order to discover spare capacity. The median ignores a few long requests among
+// short ones. Under steady overload the baseline can't be observed, and an expiring one would creep up with
+// the queue; so every ten seconds one window runs at a quarter of the limit, which drains the target's queue,
+// and measures the baseline again.
 void concurrency_limit::on_answer(duration latency, int in_flight, bool may_grow, time_point now)
 {
     if (probing_ && !belongs_to_probe(latency, in_flight, now)) {
@@ -59,7 +57,7 @@
     }
 }
 
-/// Answers to requests that were sent before the target's queue had shrunk still carry the wait in it.
+/// False for requests sent before the target's queue drained: their latency includes the wait in it.
 bool concurrency_limit::belongs_to_probe(duration latency, int in_flight, time_point now)
 {
     if (probe_start_ == time_point{} && in_flight <= limit()) {
@@ -68,8 +66,8 @@
     return probe_start_ != time_point{} && now - latency >= probe_start_;
 }
 
-// A burst of failures is one event: without the pause between cuts, 30 requests broken by one crash would
-// bring the limit to its least at once, and the target would be slow to come back.
+// Decreases at most once a window: otherwise one crash that fails 30 requests would drop the limit to its
+// minimum, and the target would recover slowly.
 void concurrency_limit::on_failure(time_point now)
 {
     if (now - last_decrease_ < window_time) {
--- a/src/policy/concurrency_limit.hpp
+++ b/src/policy/concurrency_limit.hpp
@@ -1,4 +1,4 @@
-/// How many requests may be in flight at one target, found from the latency of its answers.
+/// Adaptive limit on the requests in flight at one target, derived from its response latency.
 #ifndef VANILLAGAUGE_POLICY_CONCURRENCY_LIMIT_HPP
 #define VANILLAGAUGE_POLICY_CONCURRENCY_LIMIT_HPP
 
@@ -13,10 +13,10 @@
 public:
     explicit concurrency_limit(int initial) : limit_(initial) {}
 
-    /// An answer that took `latency`; `in_flight` counts it too. `may_grow` is false while a load report
-    /// holds the target back.
+    /// Records a response; `in_flight` includes its request. `may_grow` is false while a load report shows a
+    /// queue at the target.
     void on_answer(duration latency, int in_flight, bool may_grow, time_point now);
-    /// A request that timed out or broke off.
+    /// A request timed out or lost its connection.
     void on_failure(time_point now);
 
     int limit() const;
@@ -28,7 +28,7 @@
     std::array<std::uint32_t, window_samples> window_{}; ///< microseconds
     std::size_t sample_count_ = 0;
     int peak_in_flight_ = 0;
-    double baseline_ = 0; ///< microseconds; 0: not measured yet
+    double baseline_ = 0; ///< microseconds; 0: not measured
     bool probing_ = false;
     time_point window_start_;
     time_point next_probe_;
--- a/src/policy/engine_speed.cpp
+++ b/src/policy/engine_speed.cpp
@@ -5,16 +5,16 @@
 namespace vanillagauge::policy {
 namespace {
 
-/// Engines of one service differ by some 30% by their make, and several times while one is in trouble; the
-/// smoothed gaps of equal engines differ by some 5%.
+/// Hardware generations differ by about 30%, failing engines by several times; the smoothed gaps of equal
+/// engines differ by about 5%.
 constexpr double slow_factor = 1.18;
 constexpr std::size_t min_measured = 3;
 
 } // namespace
 
 // Load pattern: long items among short ones on engines of two speeds. A step is as late as its longest item,
-// which on a slow engine alone takes longer than the step may. The fast quarter sets the measure, so that
-// many slow engines at once do not make themselves the rule.
+// which on a slow engine exceeds the step's deadline. The reference is the fastest quarter, so that many slow
+// engines at once don't pass for normal.
 double slow_gap_threshold(std::vector<double> gaps)
 {
     std::erase_if(gaps, [](double gap) { return gap <= 0; });
--- a/src/policy/engine_speed.hpp
+++ b/src/policy/engine_speed.hpp
@@ -1,4 +1,4 @@
-/// Which engines make their events clearly more slowly than the others.
+/// Detects engines that generate clearly more slowly than the others.
 #ifndef VANILLAGAUGE_POLICY_ENGINE_SPEED_HPP
 #define VANILLAGAUGE_POLICY_ENGINE_SPEED_HPP
 
@@ -6,8 +6,8 @@
 
 namespace vanillagauge::policy {
 
-/// The mean time between two events of one run, in milliseconds, above which an engine is slow; `gaps` are
-/// the engines' own, 0 where not known. 0: too little is known to call any slow.
+/// The mean time between two events of a run, in milliseconds, above which an engine is slow; 0 with too few
+/// measurements. `gaps`: each engine's own mean, 0 where not measured.
 double slow_gap_threshold(std::vector<double> gaps);
 
 } // namespace vanillagauge::policy
--- a/src/policy/fair_queue.cpp
+++ b/src/policy/fair_queue.cpp
@@ -5,45 +5,41 @@
 namespace vanillagauge::policy {
 namespace {
 
-/// About 300 bytes each, so a full queue stays under a megabyte.
+/// About 300 bytes each: a full queue stays under a megabyte.
 constexpr std::size_t max_waiting = 2048;
-/// A request may wait for half of the time it has: the other half is for being served.
+/// A request may wait for half of its remaining time; the other half is for its execution.
 constexpr int deadline_share = 2;
-/// No request waits longer, whatever its deadline: a caller told to come back after this reaches another
-/// node sooner than it would be served here.
+/// Maximum wait whatever the deadline: after this, a retry at another node is served sooner.
 constexpr milliseconds max_wait{1000};
-/// A line that has not been empty for this long is no burst.
+/// Not empty for this long: a standing queue, not a burst.
 constexpr milliseconds standing_after{1000};
-/// What a request may wait in a standing line, but never less than it takes to serve a few.
+/// Maximum wait in a standing queue, but at least the time to serve a few requests.
 constexpr milliseconds standing_wait{100};
 constexpr double min_queue = 4;
 constexpr milliseconds min_retry_after{50};
 constexpr milliseconds max_retry_after{5000};
 constexpr std::chrono::duration<double> rate_window{0.25};
 constexpr double rate_smoothing = 0.4;
-/// Targets come and go; a rate from an earlier burst says little.
+/// Targets change: the rate of an earlier burst is not representative.
 constexpr seconds rate_life{5};
 
 } // namespace
 
 // Load pattern: bursts, saturation, and a few callers with most of the load.
 //
-// Without bounds every request waits in the same long line, is served after its caller has left, and the work
-// done is useless; a gate terminal waits behind a batch. So:
-// - a request that by the present drain rate would wait longer than it may is turned away on arrival, and one
-//   whose wait turns out longer than that is turned away then: half of its time is left to go elsewhere. The
-//   answer is final and comes as soon as it is known;
-// - a line that stands serves nobody: it makes every request late and lets no more through. A burst may
-//   use the whole wait; once the line has not been empty for a second, newcomers may wait a tenth of a second
-//   only (controlled delay, decided on arrival, so that nobody is held who will be refused);
-// - classes are served in strict order: gate terminals block a driver, members wait, batches come again;
-// - within a class callers take turns (start-time fair queueing over hashed buckets): a caller with a hundred
-//   waiting requests gets the same turns as one with a single request. Buckets bound the memory whatever the
-//   number of callers; with 256, two given callers collide in one process out of 256, and not in
-//   the next;
-// - within a caller the order is first come, first served. Last come, first served would keep the newest
-//   fresh, but it holds the others until they expire, which is what must not happen to a refused request; the
-//   refusal on arrival already keeps the line short.
+// An unbounded queue serves requests after their callers have timed out, and gate terminals wait behind
+// batches. So:
+// - a request whose estimated wait exceeds its maximum is refused on arrival, and one that reaches its
+//   maximum is refused then: half of its time is left for another node. A refusal is final;
+// - a standing queue adds latency without adding throughput. A burst may use the maximum wait; once the queue
+//   has not been empty for a second, new requests may wait a tenth of a second only (controlled delay,
+//   decided on arrival so that no request is held only to be refused);
+// - classes have strict priority: a gate terminal blocks a driver, members can wait, batches are retried;
+// - within a class, start-time fair queueing over hashed buckets: a caller with a hundred queued requests
+//   gets the same share as one with a single request. Buckets bound the memory for any number of callers;
+//   with 256, two given callers collide in one process out of 256;
+// - within a caller, first in, first out. Last in, first out would hold the older requests until they expire,
+//   and a refusal must come early; refusing on arrival already keeps the queue short.
 result<done> fair_queue::push(work item, time_point now)
 {
     const auto allowed_wait = max_wait_of(item, now);
@@ -117,8 +113,8 @@
     return std::exchange(refused_, {});
 }
 
-// Only while requests wait do finished requests show what the targets can do; otherwise they show what
-// callers asked for, and the first requests of a burst would be refused for the quiet before it.
+// Completions measure the targets' capacity only while requests are queued; otherwise they measure demand,
+// and the first requests of a burst would be refused because of low traffic before it.
 void fair_queue::on_finished(time_point now)
 {
     if (empty()) {
@@ -163,8 +159,8 @@
     return hash64(item.caller, seed_) % bucket_count;
 }
 
-/// How many requests will be served before this one: those of higher classes, and of its own class as many
-/// from each caller as its own caller has waiting.
+/// Requests that are served before this one: those of higher classes, and for each caller of its own class as
+/// many as its own caller has queued.
 std::size_t fair_queue::requests_ahead(const work& item) const
 {
     std::size_t ahead = 0;
@@ -177,8 +173,8 @@
     return ahead + std::min(queue.size, (own_waiting + 1) * queue.active.size());
 }
 
-/// Takes the newest request of the longest bucket in the lowest class out, if that is lower than the
-/// newcomer's class or the bucket is longer than the newcomer's.
+/// Evicts the newest request of the longest bucket in the lowest class if that class is lower than the new
+/// request's or that bucket is longer than its own.
 bool fair_queue::evict_for(const work& item)
 {
     for (std::size_t lowest = priority_count; lowest-- > 0;) {
@@ -214,7 +210,7 @@
         nonempty_since_ = now;
     }
     if (chosen.ids.empty()) {
-        // A caller that was idle starts now; it keeps no claim from the time in which it asked for nothing.
+        // An idle caller accumulates no credit.
         chosen.start_tag = std::max(chosen.start_tag, queue.virtual_time);
         queue.active.insert({chosen.start_tag, bucket_index});
     }
--- a/src/policy/fair_queue.hpp
+++ b/src/policy/fair_queue.hpp
@@ -1,4 +1,4 @@
-/// Requests that wait for a target: bounded, by priority, fair between callers, and turned away early.
+/// Bounded queue of requests that wait for a target: strict priorities, fair between callers, early refusal.
 #ifndef VANILLAGAUGE_POLICY_FAIR_QUEUE_HPP
 #define VANILLAGAUGE_POLICY_FAIR_QUEUE_HPP
 
@@ -13,45 +13,43 @@
 
 namespace vanillagauge::policy {
 
-/// A request that is turned away; its error is always `not_run` with a time to come back.
+/// A refused request; its error is always `not_run` and has a retry delay.
 struct refusal {
     std::uint64_t work_id = 0;
     error reason;
 };
 
-/// Who waits in the line.
+/// How long requests may wait.
 enum class wait_policy {
-    shed_early,     ///< is turned away early, to be served elsewhere
-    until_deadline, ///< has nowhere else to go, and may wait until its deadline
+    shed_early,     ///< refused early, so that the caller can try another node
+    until_deadline, ///< no other node can serve it: waits until its deadline
 };
 
 class fair_queue {
 public:
-    /// `seed` decides which callers share a bucket; let it differ between processes.
+    /// `seed` of the bucket hash; use a different one in each process.
     explicit fair_queue(std::uint64_t seed, wait_policy policy = wait_policy::shed_early)
         : seed_(seed), wait_policy_(policy)
     {
     }
 
-    // Commands.
-    /// Takes the request in, or returns why not. Where the queue is full, another request may be turned away
-    /// for it; `collect_refused` hands that one out.
+    /// Queues the request, or returns why not. A full queue may evict another request for it, which
+    /// `collect_refused` then returns.
     result<done> push(work item, time_point now);
-    /// Takes out what `front` names; there must be one.
+    /// Removes the request that `front` returns; there must be one.
     work pop();
-    /// Requests that have waited as long as they may, and those that gave way to others.
+    /// Requests that have reached their maximum wait or were evicted since the last call.
     std::vector<refusal> collect_refused(time_point now);
-    /// A target finished a request: the rate of these is what the queue drains at.
+    /// Records a request finished by a target, to estimate the drain rate.
     void on_finished(time_point now);
 
-    // Queries.
-    /// The next request to serve; null where none waits.
+    /// The next request to serve; null if the queue is empty.
     const work* front() const;
     std::size_t size() const { return entries_.size(); }
     bool empty() const { return entries_.empty(); }
-    /// When the next request will have waited as long as it may; empty where none waits.
+    /// When the next request reaches its maximum wait; none if the queue is empty.
     std::optional<time_point> next_expiry() const;
-    /// How long until the present queue is served.
+    /// Estimated time to serve all queued requests.
     milliseconds drain_time() const;
 
 private:
@@ -60,11 +58,11 @@
     using id_position = std::list<std::uint64_t>::iterator;
     struct bucket {
         std::list<std::uint64_t> ids;
-        double start_tag = 0; ///< virtual time at which its next request starts
+        double start_tag = 0; ///< virtual start time of its next request
     };
     struct class_queue {
         std::array<bucket, bucket_count> buckets;
-        std::set<std::pair<double, std::size_t>> active; ///< buckets with requests, by tag
+        std::set<std::pair<double, std::size_t>> active; ///< non-empty buckets, by tag
         double virtual_time = 0;
         std::size_t size = 0;
     };
@@ -81,7 +79,7 @@
     std::unordered_map<std::uint64_t, waiting> entries_;
     std::set<std::pair<time_point, std::uint64_t>> expiries_;
     std::vector<refusal> refused_;
-    double drain_rate_ = 0; ///< requests finished a second while others waited; 0: not known yet
+    double drain_rate_ = 0; ///< requests a second while the queue is not empty; 0: not measured
     double finished_ = 0;
     time_point rate_start_;
     time_point rate_at_;
--- a/src/policy/latency_quantile.cpp
+++ b/src/policy/latency_quantile.cpp
@@ -3,14 +3,14 @@
 namespace vanillagauge::policy {
 namespace {
 
-/// One answer moves the estimate by at most this share of itself: about 30 answers follow a doubling, and a
-/// single odd answer is not seen.
+/// Largest relative change for one sample: a doubling is followed within about 30 samples, and a single
+/// outlier has no visible effect.
 constexpr double step = 0.05;
 
 } // namespace
 
-// Load pattern: one slow target among good ones. A mean is pulled up by that target until it looks ordinary;
-// a quantile that moves by counting answers above and below stays with the majority.
+// Load pattern: one slow target among healthy ones. It raises a mean until it looks normal itself; a quantile
+// that counts samples above and below follows the majority.
 void latency_quantile::add(duration latency)
 {
     const std::chrono::duration<double, std::nano> seen(latency);
--- a/src/policy/latency_quantile.hpp
+++ b/src/policy/latency_quantile.hpp
@@ -1,4 +1,4 @@
-/// A running quantile of latencies in constant memory.
+/// Streaming estimate of a latency quantile in constant memory.
 #ifndef VANILLAGAUGE_POLICY_LATENCY_QUANTILE_HPP
 #define VANILLAGAUGE_POLICY_LATENCY_QUANTILE_HPP
 
@@ -13,7 +13,7 @@
 
     void add(duration latency);
 
-    /// Zero before the first latency.
+    /// Zero before the first sample.
     duration value() const { return std::chrono::duration_cast<duration>(value_); }
     bool has_value() const { return value_.count() > 0; }
 
--- a/src/policy/load_hint.cpp
+++ b/src/policy/load_hint.cpp
@@ -5,20 +5,19 @@
 namespace vanillagauge::policy {
 namespace {
 
-/// What is older says nothing of the present: a burst of short calls comes and goes within this time.
+/// Older reports are ignored: a burst of short calls may start and end within this time.
 constexpr seconds report_life{3};
-/// One report moves the share by at most this much: at two reports a second the full way takes four seconds,
-/// longer than reports lag, so the effect of a shift shows in the reports before the next large one.
+/// Largest change for one report. At two reports a second the full range takes four seconds, longer than the
+/// reports' lag, so the effect of a change is visible before the next large one.
 constexpr double max_shift = 0.1;
-/// A target is never starved on its own word, or its true latency could not be seen any more.
+/// A reported overload never cuts off all traffic: the true latency could not be measured any more.
 constexpr double min_weight = 0.25;
 
 } // namespace
 
-// Load pattern: reports that come late or are wrong. Taken at their word, "idle" draws every node's work to
-// one target at once and, a report later, away again: load swings between targets and each swing is a burst.
-// So a report can only hold a target back, never attract work beyond what its answers earn, and it moves the
-// share in small steps.
+// Load pattern: late or wrong reports. If they were trusted, all nodes would send their work to an idle
+// target at once and withdraw it one report later: load oscillates between targets in bursts. So a report can
+// only reduce a target's share, never raise it above what measured latency allows, and only in small steps.
 void load_hint::on_report(const load_report& report, time_point now)
 {
     if (report.age > report_life || report.capacity <= 0) {
--- a/src/policy/load_hint.hpp
+++ b/src/policy/load_hint.hpp
@@ -1,4 +1,4 @@
-/// What a target's own load reports may change: its share of new work, slowly and within bounds.
+/// Turns a target's load reports into a bounded, slowly changing factor on its concurrency limit.
 #ifndef VANILLAGAUGE_POLICY_LOAD_HINT_HPP
 #define VANILLAGAUGE_POLICY_LOAD_HINT_HPP
 
@@ -10,16 +10,16 @@
     int running = 0;
     int waiting = 0;
     int capacity = 0;
-    milliseconds age{0}; ///< how old the target says the report is
+    milliseconds age{0}; ///< age of the measurement, as reported by the target
 };
 
 class load_hint {
 public:
     void on_report(const load_report& report, time_point now);
 
-    /// The share of the target's concurrency limit to use, between a quarter and 1.
+    /// The fraction of the target's concurrency limit to use, between 0.25 and 1.
     double weight(time_point now) const;
-    /// False while a recent report names a queue at the target.
+    /// False while a recent report shows a queue at the target.
     bool may_grow(time_point now) const;
 
 private:
--- a/src/policy/order_lease.cpp
+++ b/src/policy/order_lease.cpp
@@ -6,18 +6,18 @@
 namespace {
 
 constexpr int renewals_a_lease = 3;
-/// A short lease is used for four fifths of it at least.
+/// The safety margin is at most a fifth of the lease.
 constexpr int margin_share = 5;
 constexpr milliseconds store_retry{500};
-/// For clocks that run at slightly different speeds over one length.
+/// Tolerates clock drift between VMs over one lease.
 constexpr milliseconds clock_margin{200};
 
 } // namespace
 
-// Failure: all machines lose power, and the holder's next process waits out the lease of the one before,
-// which is dead; for six seconds nobody orders, and steps that want the new weights starve. So a machine that
-// finds itself named goes on at once. The earlier process may itself have been waiting for another machine's
-// last orders to arrive: its writing tells how long it still had to wait, counted anew from here.
+// Failure: all VMs lose power, and the holder's new process waits for the lease of its own dead predecessor
+// to expire; no orders for six seconds, and steps that need the new weights stall. So a VM that finds itself
+// stored as the holder continues at once. The earlier process may have been waiting for another VM's last
+// orders to arrive: the lease stores the remaining wait, which is counted again from this read.
 void order_lease::on_read(const stored_lease& lease, time_point now)
 {
     request_pending_ = false;
@@ -35,7 +35,7 @@
     }
 }
 
-// A stopping holder gives its lease up after its last order, so a successor need not wait for its end.
+// A stopping holder releases its lease after its last order, so a successor need not wait for it to expire.
 std::optional<std::uint64_t> order_lease::release(time_point now)
 {
     const bool held = now < lease_end_;
@@ -44,7 +44,7 @@
     return held ? std::optional(version_) : std::nullopt;
 }
 
-// Before the first order after a take-over the last one of the other holder must have arrived.
+// After a takeover the previous holder's last order must have arrived before the first one is sent.
 time_point order_lease::first_order_at() const
 {
     const bool taken_over = holder_ != options_.self && version_ != 0;
@@ -61,8 +61,8 @@
     return std::max(left, milliseconds{0});
 }
 
-// A lease taken over from another VM gives no right to order yet: the last order of that holder may have been
-// sent up to the end of its lease, and two holders' orders must not follow each other closely.
+// A lease taken over from another VM does not allow orders yet: that holder may have sent its last one at the
+// end of its lease, and orders of two holders must not overlap.
 void order_lease::on_written(std::uint64_t version, time_point requested_at)
 {
     request_pending_ = false;
@@ -88,8 +88,8 @@
     next_try_ = now + store_retry;
 }
 
-// Read at once, the standing version is known to be unchanged from that moment on; read when the next try is
-// due, a holder's end would be noticed a whole length later.
+// An immediate read starts the expiry wait for the current version now; at the next regular attempt it would
+// start up to one lease later.
 void order_lease::invalidate()
 {
     state_known_ = false;
@@ -101,16 +101,16 @@
     lease_end_ = time_point{};
 }
 
-// The holder's own end of the lease is counted from before it asked for the renewal, so it lies before the
-// first moment at which anybody reads that renewal plus one length. Whoever has seen one version for a whole
-// length, by its own clock, may replace just that version: a holder that renewed meanwhile makes the write
-// fail. No view of the fleet is needed; a wrong one costs a failed write.
+// The holder counts its lease from before the renewal request, so it ends at most one lease after anybody
+// first reads that renewal. A process that has seen one version for a whole lease, by its own clock, may
+// replace exactly that version: a holder that renewed meanwhile makes the write fail. Safety does not depend
+// on the view of the fleet; a wrong view costs a failed write.
 lease_action order_lease::next(time_point now)
 {
     if (request_pending_ || now < next_try_) {
         return lease_action::none;
     }
-    // Each process reads once, whoever is to hold the lease: it may be named itself.
+    // Every process reads once, candidate or not: the lease may already name its VM.
     if (!state_known_ && (candidate_ || !ever_read_)) {
         request_pending_ = true;
         return lease_action::read;
@@ -125,9 +125,8 @@
     return lease_action::write;
 }
 
-// Load pattern: all VMs restart in turn. A successor must wait for the last orders of the one before in any
-// case; until then a holder that gave its lease up may come back and go on without that wait, and it is the
-// one that will not stop again soon.
+// Load pattern: a rolling restart of all VMs. A successor has to wait for the previous holder's last orders
+// anyway; a holder that returns within that time continues without the wait, and is not restarted again soon.
 time_point order_lease::next_write_at() const
 {
     if (version_ == 0 || holder_ == options_.self) {
--- a/src/policy/order_lease.hpp
+++ b/src/policy/order_lease.hpp
@@ -1,5 +1,5 @@
-/// The lease under which one process at a time orders engines that ignore fencing numbers. No network, no
-/// clock.
+/// The lease that lets one process at a time send orders to engines that ignore fencing tokens. No network,
+/// no clock.
 #ifndef VANILLAGAUGE_POLICY_ORDER_LEASE_HPP
 #define VANILLAGAUGE_POLICY_ORDER_LEASE_HPP
 
@@ -12,19 +12,19 @@
 namespace vanillagauge::policy {
 
 struct order_lease_options {
-    std::string self;                  ///< the VM; its processes follow each other
-    milliseconds ttl{3000};            ///< from the asking of a renewal
-    milliseconds max_order_time{3000}; ///< orders of two holders lie at least this far apart
-    milliseconds safety_margin{400};   ///< the end of the lease: an order takes that long to arrive
-    milliseconds restart_time{2400};   ///< a process that stopped is started again within it
+    std::string self;                  ///< this VM; one process at a time runs on it
+    milliseconds ttl{3000};            ///< counted from the request of a renewal
+    milliseconds max_order_time{3000}; ///< minimum time between orders of two holders
+    milliseconds safety_margin{400};   ///< before the lease ends: the time an order takes to arrive
+    milliseconds restart_time{2400};   ///< a stopped process is restarted within this time
 };
 
-/// The lease as it stands in the store.
+/// The lease as stored.
 struct stored_lease {
-    std::string holder;            ///< a VM; empty: it was given up
-    std::string previous_holder{}; ///< who gave it up
-    std::uint64_t version = 0;     ///< 0: there is none
-    milliseconds takeover_wait{0}; ///< from the writing on, the holder orders nothing for so long
+    std::string holder;            ///< a VM; empty: released
+    std::string previous_holder{}; ///< who released it
+    std::uint64_t version = 0;     ///< 0: no lease is stored
+    milliseconds takeover_wait{0}; ///< the holder sends no orders for this long after the write
 };
 
 enum class lease_action { none, read, write };
@@ -33,39 +33,36 @@
 public:
     explicit order_lease(order_lease_options options) : options_(std::move(options)) {}
 
-    // Events.
-    /// Whether this process is the one to hold the lease once nobody else does.
+    /// Whether this process should acquire the lease once it is free.
     void on_candidate(bool candidate) { candidate_ = candidate; }
-    /// This process stops: it orders nothing any more. The version to replace by a lease without a holder;
-    /// none where this process holds none.
+    /// Ends ordering because this process stops. Returns the version to overwrite with a released lease; none
+    /// if this process does not hold the lease.
     std::optional<std::uint64_t> release(time_point now);
     void on_read(const stored_lease& lease, time_point now);
-    /// A write took effect that was asked for at `requested_at`.
+    /// A write requested at `requested_at` has succeeded.
     void on_written(std::uint64_t version, time_point requested_at);
-    /// The write's condition failed: the lease is another's, or a write thought lost has been done.
+    /// The conditional write failed: another VM holds the lease, or an earlier write succeeded unnoticed.
     void on_conflict();
-    /// The store did not answer, or not in time to tell.
+    /// The call failed or timed out; a write may have succeeded.
     void on_failed(time_point now);
-    /// The holder may have gone, or this process may have become the one to follow it.
+    /// Forces a read: the holder may have failed, or this process may be its successor now.
     void invalidate();
-    /// The machine stood still for a while that the steady clock did not count.
+    /// The VM was suspended for a time that the steady clock did not count.
     void on_suspended();
 
-    // Decisions.
-    /// What to do at the store; the event that answers it must follow.
+    /// The next store call to make; its result must be reported by the matching event.
     lease_action next(time_point now);
-    /// The number to order with. To be asked again after every wait.
+    /// The token for orders; none: no orders. Call again after every wait.
     std::optional<std::uint64_t> fencing_token(time_point now) const;
 
-    // Queries.
-    /// What the next write replaces; 0: the lease is to be created.
+    /// The version that the next write replaces; 0: create the lease.
     std::uint64_t expected_version() const { return version_; }
     bool holds(time_point now) const { return now < lease_end_; }
-    /// The store names this VM, whichever of its processes wrote that.
+    /// Whether the stored holder is this VM, whichever process wrote it.
     bool names_self() const { return state_known_ && version_ != 0 && holder_ == options_.self; }
-    /// As last read: a VM; empty: not known, or nobody.
+    /// The holder as last read; empty: unknown or none.
     const std::string& holder() const { return holder_; }
-    /// What a write that is asked for now tells of the wait before the first order.
+    /// The wait before the first order, as a write requested now must store it.
     milliseconds takeover_wait(time_point now) const;
 
 private:
@@ -76,7 +73,7 @@
     bool ever_read_ = false;
     std::string holder_;
     std::uint64_t version_ = 0;
-    time_point version_since_{}; ///< when this version was first read here
+    time_point version_since_{}; ///< when this process first read the version
     time_point lease_end_{};
     time_point orders_from_{};
     time_point next_renewal_{};
--- a/src/policy/outlier_ejection.cpp
+++ b/src/policy/outlier_ejection.cpp
@@ -5,27 +5,27 @@
 namespace vanillagauge::policy {
 namespace {
 
-/// Five in a row: at one failure in ten by chance, one answer in 100,000 ejects wrongly.
+/// With one random failure in ten, one response in 100,000 ejects wrongly.
 constexpr int failures_to_eject = 5;
 constexpr milliseconds base_ejection_time{3000};
 constexpr int max_doublings = 4;
-/// At most a third of the group is out. Where more look bad, the fault is more likely ours, the network's or
-/// the load's, and ejecting would put the whole load on the rest.
+/// At most a third of the group is ejected. If more targets fail, the cause is more likely this node, the
+/// network or overload, and ejecting would put the whole load on the rest.
 constexpr std::size_t ejected_divisor = 3;
-/// Two in a row: one failure may be the request's. A trial a second finds a target that has recovered as soon
-/// as its callers would notice.
+/// A single failure may be the request's fault. One trial request a second detects a recovered target soon
+/// enough for callers.
 constexpr int failures_to_avoid = 2;
 constexpr milliseconds avoid_time{1000};
-/// Long requests among short ones are a few times slower; a sick target is slower by an order of magnitude.
+/// Long requests among short ones are a few times slower, a failing target by an order of magnitude.
 constexpr int slow_factor = 6;
-/// Below this, differences are the scheduler's.
+/// Shorter latencies vary with OS scheduling alone.
 constexpr milliseconds slow_floor{50};
 
 } // namespace
 
-// Load pattern: a target that fails at once, or crawls. It always has room, so least-loaded placement sends
-// it ever more work, and a fast failure draws more than a slow success. The limit of a crawling target
-// shrinks, but each request sent to it is still late.
+// Load pattern: a target that fails immediately or is very slow. A fast failure frees capacity sooner than a
+// slow success, so least-loaded placement sends it ever more work. The limit of a slow target shrinks, but
+// each request sent to it is still late.
 bool outlier_ejection::on_answer(target_health& target, bool good, std::size_t group_size, time_point now)
 {
     if (good) {
@@ -73,9 +73,8 @@
     }
 }
 
-// Load pattern: more targets fail at once than may be ejected. Those that stay always have room and draw the
-// work that least-loaded placement has to give. No target is overloaded by it: the others take no more than
-// their limits.
+// Load pattern: more targets fail than may be ejected. The remaining ones always have capacity, and
+// least-loaded placement prefers them. Avoiding them overloads no other target: each is bounded by its limit.
 bool failed_recently(const target_health& target, time_point now)
 {
     return target.consecutive_failures >= failures_to_avoid && now - target.last_failure < avoid_time;
--- a/src/policy/outlier_ejection.hpp
+++ b/src/policy/outlier_ejection.hpp
@@ -1,4 +1,4 @@
-/// Which targets get no work for a while because they fail or answer far more slowly than the rest.
+/// Temporarily ejects targets that fail or respond far more slowly than the others.
 #ifndef VANILLAGAUGE_POLICY_OUTLIER_EJECTION_HPP
 #define VANILLAGAUGE_POLICY_OUTLIER_EJECTION_HPP
 
@@ -12,18 +12,18 @@
 struct target_health {
     int consecutive_failures = 0;
     time_point last_failure{};
-    int consecutive_ejections = 0; ///< in a row, without a good spell between them
+    int consecutive_ejections = 0; ///< without a good response in between
     time_point ejected_until;
 };
 
-/// The group's count of ejected targets and the bound on it.
+/// Bounds the number of ejected targets of one group.
 class outlier_ejection {
 public:
-    /// Counts an answer; true where the target is ejected by it.
+    /// Records a response; true if it ejects the target.
     bool on_answer(target_health& target, bool good, std::size_t group_size, time_point now);
-    /// Ejects without waiting for a row of failures: the target itself said that it is stopping.
+    /// Ejects at once, without repeated failures: the target reported that it is draining.
     bool eject(target_health& target, std::size_t group_size, time_point now);
-    /// Whether the target is out; the first question after its time takes it back.
+    /// Whether the target is ejected; the first call after the ejection time reinstates it.
     bool is_ejected(target_health& target, time_point now);
     void reinstate(target_health& target);
 
@@ -33,11 +33,11 @@
     std::size_t ejected_ = 0;
 };
 
-/// Whether the target just failed several times in a row. It is not out: work goes there that finds no room
-/// elsewhere, and after a while one request to see whether it has recovered.
+/// Whether the target's last responses were failures. It is not ejected: it gets work that finds no capacity
+/// elsewhere, and after a while one trial request.
 bool failed_recently(const target_health& target, time_point now);
 
-/// Whether an answer counts as bad for being slow.
+/// Whether a response is slow enough to count as a failure.
 bool is_slow(duration latency, duration group_median);
 
 } // namespace vanillagauge::policy
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -5,19 +5,18 @@
 namespace vanillagauge::policy {
 namespace {
 
-/// With 9 of 10 targets full, 48 places miss all the others in one draw out of 150; the request then waits
-/// for the next answer, which is a matter of microseconds in a group of that size.
+/// With 9 of 10 targets full, 48 examined ones miss all the others in one draw out of 150; the request then
+/// waits for the next response, microseconds in a group of that size.
 constexpr std::size_t max_examined = 48;
-/// Points of a target on the ring: its share of the prefixes is then within about a third of the mean, and
-/// the load bound takes care of the rest.
+/// Keeps a target's share of the prefixes within about a third of the mean; the load bound does the rest.
 constexpr std::uint64_t points_per_target = 8;
 
 } // namespace
 
-// Load pattern: many entry nodes choose at once from figures that are a little old. Taking the least loaded
-// of all sends every node to the same target until its figures change; two random choices spread them and
-// still avoid a slow target. A third choice adds little. A walk from a random place finds the two, so the
-// cost is the same for 20 targets and 6,500.
+// Load pattern: many entry nodes choose at once from slightly stale load figures. Choosing the least loaded
+// target sends every node to the same one until its figures change; two random choices spread the load and
+// still avoid a slow target. A third choice adds little. A scan from a random index finds each choice, so the
+// cost does not grow with the number of targets.
 std::optional<std::size_t> place_two_choices(const std::vector<std::size_t>& candidates,
                                              const is_usable& usable, const load_of& load,
                                              std::mt19937_64& random)
@@ -26,7 +25,7 @@
         return std::nullopt;
     }
     const std::size_t max_tries = std::min(candidates.size(), max_examined);
-    // A new random place for each of the two choices; neighbours in the list would always compete in pairs.
+    // Each choice starts at its own random index; otherwise neighbours in the list would always compete.
     const auto find_from = [&](std::size_t start) -> std::optional<std::size_t> {
         for (std::size_t tries = 0; tries < max_tries; ++tries) {
             const auto index = candidates[(start + tries) % candidates.size()];
@@ -48,9 +47,8 @@
     return second;
 }
 
-// Load pattern: prompts that share long prefixes. Spread at random each engine computes and caches all of
-// them and its limited memory holds none for long. On a ring a prefix stays with its targets when others come
-// or go.
+// Load pattern: prompts that share long prefixes. Spread at random, every engine computes and caches all of
+// them and soon evicts each. On a hash ring a prefix stays at its targets when others join or leave.
 prefix_ring::prefix_ring(const std::vector<std::pair<std::string, std::size_t>>& targets)
 {
     points_.reserve(targets.size() * points_per_target);
--- a/src/policy/placement.hpp
+++ b/src/policy/placement.hpp
@@ -1,5 +1,4 @@
-/// Which target takes a request: the less loaded of two drawn at random, or the one that has its prefix
-/// cached.
+/// Target selection: the less loaded of two random choices, or prefix affinity on a hash ring.
 #ifndef VANILLAGAUGE_POLICY_PLACEMENT_HPP
 #define VANILLAGAUGE_POLICY_PLACEMENT_HPP
 
@@ -19,19 +18,19 @@
 using is_usable = std::function<bool(std::size_t index)>;
 using load_of = std::function<double(std::size_t index)>;
 
-/// One of `candidates` to use; none where none of those looked at is usable. Looks at a bounded number of
-/// them, which is all for small groups.
+/// One of `candidates`; none if none of the examined ones is usable. Examines a bounded number of them, which
+/// is all for small groups.
 std::optional<std::size_t> place_two_choices(const std::vector<std::size_t>& candidates,
                                              const is_usable& usable, const load_of& load,
                                              std::mt19937_64& random);
 
-/// Maps a prefix to the targets that shall cache it; few prefixes move when targets come and go.
+/// Consistent hashing of prefixes to targets: few prefixes move when targets join or leave.
 class prefix_ring {
 public:
     prefix_ring() = default;
     explicit prefix_ring(const std::vector<std::pair<std::string, std::size_t>>& targets);
 
-    /// The place of the `choice`-th target after the prefix's point; none for an empty ring.
+    /// The target at the `choice`-th point after the prefix's hash; none for an empty ring.
     std::optional<std::size_t> at(std::uint64_t prefix, std::size_t choice) const;
 
 private:
--- a/src/policy/policy.hpp
+++ b/src/policy/policy.hpp
@@ -1,4 +1,4 @@
-/// Decisions under load, without network, clock or thread: time and events in, decisions out.
+/// Load management decisions without network, clock or threads: time and events in, decisions out.
 #ifndef VANILLAGAUGE_POLICY_POLICY_HPP
 #define VANILLAGAUGE_POLICY_POLICY_HPP
 
--- a/src/policy/quarantine.cpp
+++ b/src/policy/quarantine.cpp
@@ -5,14 +5,13 @@
 namespace vanillagauge::policy {
 namespace {
 
-/// Long against the pauses after which a caller sends its request again, short enough to end by itself once
-/// the targets have been mended.
+/// Much longer than callers' retry delays, short enough to expire by itself once the targets are fixed.
 constexpr std::chrono::minutes record_life{10};
-/// Longer than pooled connections to a lost target stay unused under any load worth the name.
+/// Longer than pooled connections to a crashed target stay unused under load.
 constexpr seconds loss_memory{30};
-/// Nodes tell each other of an answer within some two seconds; late word of the crash must not undo it.
+/// Nodes exchange a clearance within about two seconds; a late crash record must not undo it.
 constexpr seconds clearance_life{30};
-/// About 200 bytes each: a crash that takes 500 requests with it fits twice.
+/// About 200 bytes each: room for two crashes that each lose 500 requests.
 constexpr std::size_t max_records = 1024;
 
 } // namespace
@@ -22,15 +21,15 @@
     return hash64(body, hash64(method, hash64(deployment)));
 }
 
-// Load pattern: one request crashes each target that runs it, and its caller sends it again. Retries carry it
-// from target to target, and the fleet is down after a few attempts.
+// Load pattern: a poison request crashes each target that runs it, and its caller retries. The retries reach
+// one target after another, and all are down after a few attempts.
 //
-// Every request in flight at a lost target is suspected, also the innocent ones. An answer clears a suspect,
-// and a request that others send as well is answered somewhere before a second target is lost to it; the
-// poisonous one never is.
+// Every request in flight at a crashed target becomes a suspect, including harmless ones. A response clears a
+// suspect: a harmless request that is sent repeatedly completes somewhere before it loses a second target, a
+// poison request never does.
 //
-// A lost target leaves connections in our pools that break when the next requests are sent on them. These
-// came after the loss and cannot have caused it; counting them would hold innocent requests as soon as two
+// A crashed target leaves stale connections in the pools, which fail for the next requests. Those were sent
+// after the crash and can't have caused it; counting them would quarantine harmless requests as soon as two
 // targets are down.
 void quarantine::on_crash(std::uint64_t fingerprint, std::string_view target, time_point began,
                           time_point now)
@@ -42,9 +41,8 @@
     entry.local_losses += entry.targets.insert(hash64(target)).second ? 1 : 0;
 }
 
-// Breaks of connections that waited in a pool are mostly the end of a target that was lost before. But a
-// request that only ever goes over such connections would never be found out: the next time it gets a new
-// one.
+// The loss of a pooled connection mostly means that the target crashed earlier. But a poison request that
+// always gets pooled connections would never be detected: as a suspect it gets a new connection next time.
 void quarantine::on_possible_crash(std::uint64_t fingerprint, time_point now)
 {
     touch(fingerprint, now);
@@ -72,7 +70,7 @@
     return !first && began > found->second;
 }
 
-// Only suspects are remembered as cleared, so that what nobody suspects costs nothing.
+// Only suspects are stored as cleared, so that other requests cost no memory.
 void quarantine::on_answer(std::uint64_t fingerprint, time_point now)
 {
     if (records_.contains(fingerprint)) {
@@ -183,7 +181,7 @@
     if (records_.size() < max_records) {
         return;
     }
-    // Suspects go before requests that are held.
+    // Evicts suspects before quarantined requests.
     const auto oldest =
         std::min_element(records_.begin(), records_.end(), [this](const auto& left, const auto& right) {
             const bool left_held = is_quarantined(left.second);
--- a/src/policy/retry_budget.cpp
+++ b/src/policy/retry_budget.cpp
@@ -5,16 +5,16 @@
 namespace vanillagauge::policy {
 namespace {
 
-/// A fifth: enough to redo the work of one lost target out of five, and an overload grows by a fifth at most.
+/// Enough to redo the work of one failed target out of five; amplifies an overload by a fifth at most.
 constexpr double share = 0.2;
-/// Keeps retries possible for a group with little traffic.
+/// Allows retries for a group with little traffic.
 constexpr double per_second = 1;
 constexpr double max_tokens = 100;
 
 } // namespace
 
-// Load pattern: targets that fail or slow down under load. With three attempts each, calls become three times
-// as many exactly when targets can take the least, and the overload keeps itself up after its cause is gone.
+// Load pattern: targets that fail or slow down under load. Three attempts for each call triple the traffic
+// when capacity is lowest, and the overload sustains itself after its cause is gone (retry storm).
 void retry_budget::on_request()
 {
     tokens_ = std::min(max_tokens, tokens_ + share);
--- a/src/policy/retry_budget.hpp
+++ b/src/policy/retry_budget.hpp
@@ -1,4 +1,4 @@
-/// How many second attempts, retries and hedges together, a group may make.
+/// Token bucket that bounds the retries and hedges of a group.
 #ifndef VANILLAGAUGE_POLICY_RETRY_BUDGET_HPP
 #define VANILLAGAUGE_POLICY_RETRY_BUDGET_HPP
 
@@ -8,9 +8,9 @@
 
 class retry_budget {
 public:
-    /// A first attempt was made.
+    /// Records a first attempt.
     void on_request();
-    /// Takes one retry out of the budget; false where none is left.
+    /// Consumes one retry; false if the budget is exhausted.
     bool take(time_point now);
 
 private:
@@ -18,7 +18,7 @@
     time_point refilled_;
 };
 
-/// Whether a failure may be answered by another attempt at all, whatever the budget.
+/// Whether a failed request may be retried at all, whatever the budget.
 bool retry_is_safe(const error& failure, bool idempotent);
 
 } // namespace vanillagauge::policy
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -12,7 +12,7 @@
     pool_.on_report(target, report, now);
 }
 
-// A newcomer may start at once only while nobody waits, or it would overtake those who came before.
+// Starts immediately only with an empty queue, or the request would overtake queued ones.
 decision scheduler::submit(work item, time_point now)
 {
     budget_.on_request();
--- a/src/policy/scheduler.hpp
+++ b/src/policy/scheduler.hpp
@@ -1,4 +1,4 @@
-/// What is let in, what waits, what is turned away and where work goes, for one deployment.
+/// Admission, queueing and placement of requests for one deployment.
 #ifndef VANILLAGAUGE_POLICY_SCHEDULER_HPP
 #define VANILLAGAUGE_POLICY_SCHEDULER_HPP
 
@@ -19,7 +19,7 @@
 /// An error is final and `not_run`.
 using decision = std::variant<placed, queued, error>;
 
-/// What became of requests that waited.
+/// Changes to queued requests.
 struct queue_changes {
     std::vector<placed> started;
     std::vector<refusal> refused;
@@ -32,22 +32,20 @@
     {
     }
 
-    // Commands.
     void update(const std::vector<pool_target>& targets, time_point now) { pool_.update(targets, now); }
     void on_report(const std::string& target, const load_report& report, time_point now);
-    /// A first attempt. What is queued appears in a later `advance`.
+    /// Submits a first attempt. If queued, a later `advance` returns it.
     decision submit(work item, time_point now);
-    /// Another target for a request that ran already somewhere, now or never: it does not wait in line.
-    /// Takes from the retry budget.
+    /// Another target for a retry or a hedge; none if there is none now: retries are not queued. Consumes
+    /// retry budget.
     std::optional<placed> retry(const work& item, time_point now);
-    /// A place without the line, for work that has a line of its own.
+    /// Acquires a target without queueing, for work with its own queue.
     std::optional<placed> acquire(const work& item, time_point now);
     void finish(const std::string& target, const attempt_report& report, time_point now);
-    /// Starts what can start and turns away what has waited as long as it may. Call after `finish`, after
-    /// `update` and at `next_expiry`.
+    /// Starts queued requests that find a target and refuses those at their maximum wait. Call after `finish`
+    /// and `update`, and at `next_expiry`.
     queue_changes advance(time_point now);
 
-    // Queries.
     std::optional<time_point> next_expiry() const { return queue_.next_expiry(); }
     std::size_t waiting() const { return queue_.size(); }
     const target_pool& pool() const { return pool_; }
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -5,16 +5,16 @@
 namespace vanillagauge::policy {
 namespace {
 
-/// Long enough to fill caches and open connections under a tenth to half of the load; short against the
-/// minutes for which a replacement is needed.
+/// Long enough to fill caches and open connections at a tenth to half of the load; short compared with a
+/// replacement's minutes of use.
 constexpr std::chrono::duration<double> ramp{10};
 constexpr double first_share = 0.1;
 
 } // namespace
 
-// Load pattern: a target that starts during a surge. It has nothing in flight, so least-loaded placement of
-// every node picks it for nearly all new work; with cold caches it answers late, times out and leaves again.
-// Targets that were there when the group was made need no ramp: nothing else could take their work.
+// Load pattern: a target that starts during a surge. With nothing in flight, least-loaded placement of every
+// node picks it for nearly all new work; with cold caches it responds late, times out and is ejected again.
+// The initial targets of a group need no ramp: no other target could do their work.
 double slow_start_share(time_point joined, time_point now)
 {
     if (joined == time_point{}) {
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -1,4 +1,4 @@
-/// The share of its limit that a target new to the group, or back in it, may use.
+/// Ramps up the limit of a target that joins the group or returns to it.
 #ifndef VANILLAGAUGE_POLICY_SLOW_START_HPP
 #define VANILLAGAUGE_POLICY_SLOW_START_HPP
 
@@ -6,7 +6,7 @@
 
 namespace vanillagauge::policy {
 
-/// Between a tenth and 1; `joined` is empty (the epoch) for a target that needs no ramp.
+/// Fraction of the limit, between 0.1 and 1; `joined` is the epoch for a target that needs no ramp.
 double slow_start_share(time_point joined, time_point now);
 
 } // namespace vanillagauge::policy
--- a/src/policy/step_placement.cpp
+++ b/src/policy/step_placement.cpp
@@ -7,9 +7,9 @@
 namespace vanillagauge::policy {
 namespace {
 
-/// How far above the mean load an engine may be for the sake of its cached prefix.
+/// An engine may have this multiple of the mean load for prefix affinity.
 constexpr double load_bound = 1.25;
-/// Below this share of its limit an engine runs at full speed, whatever the mean is.
+/// Up to a quarter of its limit an engine runs at full speed, whatever the mean load.
 constexpr int free_share = 4;
 
 bool is_eligible(const engine_view& engine, const sample_view& sample)
@@ -29,7 +29,7 @@
     return found;
 }
 
-/// Streams that each engine may hold for a prefix: the mean with one more, and a quarter above.
+/// Bound on the load of an engine for prefix affinity: 1.25 times the mean, including the new stream.
 double bounded_load(const std::vector<engine_view>& engines, const std::vector<std::size_t>& usable)
 {
     double sum = 1;
@@ -46,12 +46,12 @@
 
 } // namespace
 
-// Load pattern: a step arrives at once, in groups that share one prompt. Spread evenly, every engine computes
-// every prompt's prefix; kept by prefix alone, a few long prompts pile up on one engine and the step waits
-// for it. So a group goes to the engine that its prefix ranks first, unless that one holds a quarter more
-// than the mean and is past a quarter of its limit; then to the next in rank. A quarter is the usual bound
-// for hashing with bounded loads: it keeps most groups together while no engine is far behind the others.
-// Ranks need no cache events, which come late and with gaps.
+// Load pattern: a step arrives at once, in groups that share a prompt. Spread evenly, every engine computes
+// every prefix; placed by prefix alone, a few long prompts overload one engine and the step waits for it. So
+// rendezvous hashing with bounded loads: a group goes to the engine ranked first for its prefix, unless that
+// engine's load is over 1.25 times the mean and over a quarter of its limit; then to the next in rank. The
+// usual bound of 1.25 keeps most groups together. Ranking needs no cache events, which are late and
+// incomplete.
 std::optional<std::size_t> place_sample(const std::vector<engine_view>& engines, const sample_view& sample)
 {
     const auto usable = eligible_engines(engines, sample);
@@ -88,9 +88,9 @@
     return std::nullopt;
 }
 
-// Load pattern: several trainers' jobs on the same engines, each able to fill them all. Without shares the
-// job that asks first holds every place until its step ends and the others' trainers idle. One place is the
-// least, so that a job of small weight still moves.
+// Load pattern: several jobs on the same engines, each able to fill them all. Without shares the first job
+// occupies all capacity until its step ends while the other trainers idle. The minimum of one lets a job of
+// small weight make progress.
 int job_share(int all_places, int weight, int all_weights)
 {
     const std::int64_t share = std::int64_t{all_places} * weight / std::max(1, all_weights);
--- a/src/policy/stop_plan.cpp
+++ b/src/policy/stop_plan.cpp
@@ -5,13 +5,13 @@
 namespace vanillagauge::policy {
 namespace {
 
-/// What is left of the grace period is for telling the others and for the process's own end.
+/// The end of the grace period, for notifying other processes and for the exit itself.
 constexpr milliseconds end_reserve{1200};
-/// Callers keep an address for a while; leaving at once would refuse their connections.
+/// Callers cache addresses for this long; closing sooner would refuse their connections.
 constexpr milliseconds advice_time{2500};
-/// For requests that were taken until then.
+/// For completing the requests accepted until then.
 constexpr milliseconds finish_time{2000};
-/// For answers on their way to callers.
+/// For delivering the last responses.
 constexpr milliseconds give_up_time{300};
 
 } // namespace
@@ -39,8 +39,7 @@
     answer_by_ = finish_at_ + (give_up_at_ - finish_at_) / 2;
 }
 
-// A process that is not busy may be given work a moment later, so it ends only from a step in which it takes
-// none: what it has taken is over by then.
+// An idle process may still receive work, so it ends only from a step in which it accepts none.
 stop_step stop_plan::advance(time_point now, const open_work& open)
 {
     const bool busy = open.requests > 0 || open.batches > 0;
--- a/src/policy/stop_plan.hpp
+++ b/src/policy/stop_plan.hpp
@@ -1,4 +1,4 @@
-/// When a process that was told to stop serves on, takes no more, and ends.
+/// Steps of a graceful shutdown: serve, finish, give up, end.
 #ifndef VANILLAGAUGE_POLICY_STOP_PLAN_HPP
 #define VANILLAGAUGE_POLICY_STOP_PLAN_HPP
 
@@ -9,34 +9,34 @@
 
 namespace vanillagauge::policy {
 
-/// In the order in which a stop goes through them; none comes back.
+/// In order; a shutdown never returns to an earlier step.
 enum class stop_step {
-    serve,   ///< takes what callers send that have not heard of the stop yet
-    finish,  ///< takes no connections and ends what it has taken
-    give_up, ///< answers in its own name what will not be done in time
-    end,     ///< nothing is under way, or the time is over
+    serve,   ///< still accepts requests of callers that don't know of the shutdown yet
+    finish,  ///< accepts no connections and completes accepted requests
+    give_up, ///< responds with an error to requests that can't complete in time
+    end,     ///< no work left, or the time is over
 };
 
 std::string_view name(stop_step step);
 
-/// What a process still holds.
+/// Work in progress in the process.
 struct open_work {
     std::size_t connections = 0;
     std::size_t requests = 0;
     std::size_t batches = 0;
 };
 
-/// A stream that ends with the process is cut; of a whole answer at least its failure can be told.
+/// A stream that ends with the process is cut off; a complete response can still be replaced by an error.
 enum class response_kind { complete, stream };
 
 class stop_plan {
 public:
-    /// `grace`: from the order to stop to the end of the process by force.
+    /// `grace`: time from the stop request until the process is killed.
     stop_plan(time_point began, milliseconds grace);
 
-    /// The step from now on, asked again and again.
+    /// Returns the step, the next one if it is due.
     stop_step advance(time_point now, const open_work& open);
-    /// Whether a request that arrives now may be taken.
+    /// Whether to accept a request that arrives now.
     bool accepts(time_point now, time_point deadline, response_kind form) const;
 
 private:
--- a/src/policy/straggler.cpp
+++ b/src/policy/straggler.cpp
@@ -5,11 +5,11 @@
 namespace vanillagauge::policy {
 namespace {
 
-/// Racing starts once half of the step is there.
+/// Racing starts once half of the step is complete.
 constexpr std::size_t near_end_halves = 1;
-/// A stream silent for this long is taken for dead: many times the gap between chunks of a busy engine.
+/// A stream without a chunk for this long is considered dead: many times the gap at a busy engine.
 constexpr seconds max_chunk_gap{2};
-/// Before this a stream's rate says nothing.
+/// Shorter streams have no meaningful rate.
 constexpr milliseconds min_elapsed{250};
 /// A stream is slow below this share of the typical rate.
 constexpr double slow_share = 0.5;
@@ -22,14 +22,13 @@
 
 } // namespace
 
-// Load pattern: lengths have a heavy tail and engines differ, so a step's last few samples take as long as
-// all the others; the trainer idles for them. A stream that has gone silent is resumed elsewhere with its
-// text: its engine or the path to it is gone, and waiting for the stream's own timeout costs seconds of a
-// step. A slow but living one is raced from its text so far, and the first whole answer wins: cutting it off
-// instead would lose if the second engine is slower still. A sample that is merely long gains nothing from
-// another engine at the same speed, so only a rate below half of the median counts: closer to the median, the
-// copy seldom catches up and its tokens are wasted. Racing waits for the last quarter of the step, when
-// engines have room.
+// Load pattern: lengths are heavy-tailed and engines differ, so a step's last few samples take as long as all
+// the others, and the trainer idles. A stalled stream is resumed on another engine from its text so far: its
+// engine or the connection is lost, and waiting for the stream's timeout costs seconds. A slow one is raced
+// by a copy that continues its text so far, and the first to complete wins: cancelling it would lose if the
+// second engine is slower still. A sample that is merely long gains nothing on another engine, so only a rate
+// below half of the median counts: closer to it, the copy seldom catches up and its tokens are wasted. Racing
+// waits until late in the step, when engines have free capacity.
 std::vector<straggler_decision> find_stragglers(const step_view& step)
 {
     std::vector<straggler_decision> chosen;
--- a/src/policy/target_pool.cpp
+++ b/src/policy/target_pool.cpp
@@ -8,11 +8,11 @@
 namespace vanillagauge::policy {
 namespace {
 
-/// A target with cached prefixes may carry this much more than the mean before the work goes elsewhere:
-/// reusing a cache saves less than waiting behind a quarter more work costs.
+/// A target with a cached prefix may have this multiple of the mean load: above it, waiting costs more than
+/// reusing the cache saves.
 constexpr double prefix_load_bound = 1.25;
 constexpr std::size_t prefix_choices = 2;
-/// Three times the latency that 95 of 100 answers keep: about one answer in a few hundred is hedged.
+/// Three times the 95th percentile: about one request in a few hundred is hedged.
 constexpr int hedge_factor = 3;
 constexpr milliseconds min_hedge_delay{100};
 constexpr milliseconds first_hedge_delay{1000};
@@ -27,7 +27,7 @@
     for (const auto& target : targets) {
         next.push_back(updated_record(target, now));
     }
-    // What was not taken over leaves the counts with it.
+    // Removes the remaining targets from the totals.
     for (auto& [id, index] : index_by_id_) {
         auto& removed = entries_[index];
         if (removed.target.id == id) {
@@ -116,7 +116,7 @@
         out = ejection_.eject(entry.health, usable_.size(), now);
     }
     if (out) {
-        entry.joined = entry.health.ejected_until; // it comes back by a slow start
+        entry.joined = entry.health.ejected_until; // returns with a slow start
     }
 }
 
--- a/src/policy/target_pool.hpp
+++ b/src/policy/target_pool.hpp
@@ -1,4 +1,4 @@
-/// The targets of a deployment with all that decides which of them takes a request.
+/// The targets of a deployment and the choice of one for each request.
 #ifndef VANILLAGAUGE_POLICY_TARGET_POOL_HPP
 #define VANILLAGAUGE_POLICY_TARGET_POOL_HPP
 
@@ -21,24 +21,24 @@
 struct pool_target {
     std::string id;
     std::string failure_domain;
-    bool leaving = false; ///< receives no new work
+    bool leaving = false; ///< gets no new work
 };
 
 struct pool_options {
-    /// False: every target takes everything, in turn, as the plain baseline of measurements does.
+    /// False: round robin without limits, the baseline of measurements.
     bool limited = true;
-    /// Of a target that has not answered yet. Sixteen is what the smallest services of today serve at once.
+    /// For a target without responses yet. Sixteen is the concurrency of the smallest services.
     int initial_limit = 16;
-    /// False: the limit stays as it is, for work whose own time says little of the target's load.
+    /// False: a fixed limit, for work whose latency says little about the target's load.
     bool adaptive = true;
 };
 
-/// How a request ended at a target.
+/// The result of an attempt at a target.
 enum class attempt_result {
     answered,
-    failed,   ///< broke off, timed out or was answered by an internal error
-    draining, ///< the target said that it takes no new work
-    unknown,  ///< says nothing of the target, such as a cancelled request
+    failed,   ///< lost connection, timeout or internal error
+    draining, ///< the target accepts no new work
+    unknown,  ///< says nothing about the target, such as a cancelled request
 };
 
 struct attempt_report {
@@ -50,21 +50,19 @@
 public:
     target_pool(std::uint64_t seed, pool_options options) : random_(seed), options_(options) {}
 
-    // Commands.
     void update(const std::vector<pool_target>& targets, time_point now);
-    /// Takes a place at a target and returns its id; none where no target with room was found.
+    /// Assigns a request to a target and returns its id; none if none with free capacity was found.
     std::optional<std::string> acquire(const work& item, time_point now);
-    /// Gives the place back. Ids of targets that have left are ignored.
+    /// Ends a request at a target. Ignores ids of removed targets.
     void release(const std::string& id, const attempt_report& report, time_point now);
     void on_report(const std::string& id, const load_report& report, time_point now);
 
-    // Queries.
     std::size_t size() const { return usable_.size(); }
     std::size_t ejected() const { return ejection_.ejected(); }
     int in_flight(const std::string& id) const;
     int in_flight() const { return total_in_flight_; }
     int limit(const std::string& id, time_point now) const;
-    /// How long to wait for an answer before another target is asked as well.
+    /// How long to wait for a response before hedging.
     duration hedge_delay() const;
 
 private:
@@ -74,7 +72,7 @@
         int in_flight = 0;
         load_hint hint{};
         target_health health{};
-        time_point joined{}; ///< start of its slow start; the epoch: none
+        time_point joined{}; ///< start of its slow start; the epoch: no ramp
         latency_quantile median{0.5};
     };
 
--- a/src/policy/wave_fence.cpp
+++ b/src/policy/wave_fence.cpp
@@ -39,7 +39,7 @@
     next_write_ = requested_at + settings_.lease_ttl / renewals_a_lease;
 }
 
-// Somebody else took the lease: nothing is ordered until it has been read and waited out.
+// Another process took the lease: no orders until it has been read and the takeover wait is over.
 void wave_fence::on_conflict()
 {
     request_pending_ = false;
@@ -79,14 +79,14 @@
     return fence_action::write;
 }
 
-// A paused holder wakes and believes what it believed; an order of its would load old weights on engines that
-// a successor has moved on. Engines that enforce the number refuse it. For those that ignore it, three checks
-// of this process's own clock must pass right before each order: the view was heard within a lease, the lease
-// in the store has not ended, and whoever held it before has been waited out, with its longest order. While
-// the store fails no lease can be renewed, and without orders the trainers' versions would leave the engines
-// behind and stall every step; then the view stands in, after the same wait. Two nodes cut off from each
-// other in an outage may both order; both order the newest version announced to them and labels come from the
-// engines, so the price is work, not a promise.
+// A holder that resumes after a pause has stale state; its orders would load old weights on engines that a
+// successor has updated. Engines that enforce fencing tokens reject them. For engines that ignore tokens,
+// three checks by this process's own clock must pass before each order: the view is younger than one lease,
+// the stored lease has not expired, and the previous holder's lease and longest order are over. While the
+// store is unavailable no lease can be renewed, and without orders the engines would fall behind the
+// announced versions and stall every step; the view then replaces the lease, after the same wait. Two
+// partitioned nodes may both send orders in an outage; both order the newest version they know, and engines
+// report the versions they use, so this costs duplicate work, not correctness.
 std::optional<std::uint64_t> wave_fence::fencing_token(time_point now) const
 {
     if (!selected_ || now >= view_updated_ + settings_.lease_ttl) {
--- a/src/policy/wave_fence.hpp
+++ b/src/policy/wave_fence.hpp
@@ -1,4 +1,4 @@
-/// Whether this process may order engines now, and with which fencing number.
+/// Whether this process may order engines now, and with which fencing token.
 #ifndef VANILLAGAUGE_POLICY_WAVE_FENCE_HPP
 #define VANILLAGAUGE_POLICY_WAVE_FENCE_HPP
 
@@ -11,39 +11,36 @@
 namespace vanillagauge::policy {
 
 struct fence_settings {
-    std::string self;                  ///< of this life of the process
-    bool enforced = false;             ///< the engines refuse an old fencing number
-    milliseconds lease_ttl{3000};      ///< the holder stops when it is over
-    milliseconds max_order_time{5000}; ///< after which an order is done or has failed
+    std::string self;                  ///< id of this run of the process
+    bool enforced = false;             ///< the engines reject old fencing tokens
+    milliseconds lease_ttl{3000};      ///< the holder sends no orders after it
+    milliseconds max_order_time{5000}; ///< after this, an order has completed or failed
 };
 
 enum class fence_action { none, read, write };
 
-/// A lease in the Object API while it answers; through an outage the view of the fleet stands in for it.
+/// Uses a lease in the Object API; while that is unavailable, the view of the fleet replaces it.
 class wave_fence {
 public:
     explicit wave_fence(fence_settings settings) : settings_(std::move(settings)) {}
 
-    // Events.
-    /// `updated`: when the view was heard; `selected`: it names this process for the deployment.
+    /// `updated`: when the view was received; `selected`: it names this process for the deployment.
     void on_view(bool selected, time_point updated, time_point now);
-    /// The lease as stored; version 0: there is none.
+    /// The stored lease; version 0: none.
     void on_read(const std::string& holder, std::uint64_t version, time_point now);
-    /// The write took effect. `requested_at` begins the lease: the answer may have been long under way.
+    /// The write succeeded. The lease starts at `requested_at`, as the response may have been delayed.
     void on_written(std::uint64_t version, time_point requested_at);
     void on_conflict();
-    /// The store did not answer, or not in time to tell.
+    /// The call failed or timed out; a write may have succeeded.
     void on_failed(time_point now);
-    /// An engine told the highest number that it has seen.
+    /// An engine reported the highest token that it has seen.
     void on_fencing_token(std::uint64_t seen);
 
-    // Decisions.
-    /// What to do at the store; the event that answers it must follow.
+    /// The next store call to make; its result must be reported by the matching event.
     fence_action next(time_point now);
-    /// The number to order with. Ask again after every wait: a pause shows only there.
+    /// The token for orders; none: no orders. Call again after every wait: it detects a pause.
     std::optional<std::uint64_t> fencing_token(time_point now) const;
 
-    // Queries.
     std::uint64_t expected_version() const { return stored_version_; }
     milliseconds takeover_wait() const { return settings_.lease_ttl + settings_.max_order_time; }
 
@@ -54,9 +51,9 @@
     time_point selected_since_{};
     time_point view_updated_{};
     store_state store_ = store_state::unknown;
-    bool state_known_ = false; ///< `stored_version_` is what the store holds, as far as this process knows
+    bool state_known_ = false; ///< `stored_version_` is current as far as this process knows
     bool request_pending_ = false;
-    bool was_unheld_ = false; ///< nobody held the lease when it was read
+    bool was_unheld_ = false; ///< the lease had no holder when it was read
     std::uint64_t stored_version_ = 0;
     std::uint64_t fencing_token_ = 0;
     time_point lease_end_{};
--- a/src/policy/wave_plan.cpp
+++ b/src/policy/wave_plan.cpp
@@ -23,7 +23,7 @@
     return now < engine.failed_at + first_retry * (1 << std::min(engine.failures - 1, max_doublings));
 }
 
-/// Those whose work loses least come first; among equals the oldest weights.
+/// Least work interrupted first, then oldest weights first.
 void sort_by_cost(std::vector<const wave_engine*>& waiting)
 {
     std::stable_sort(waiting.begin(), waiting.end(), [](const wave_engine* left, const wave_engine* right) {
@@ -75,15 +75,15 @@
 }
 
 // Load pattern: a new version every step, an engine that loads serves nothing, and the weight store grants a
-// few fetches a second. All at once leaves the step without engines and queues at the store; one by one, the
-// last engine makes stale samples until the next version is out. The weight store is asked ahead of the
-// order, so a wave never waits for it while engines stand still. `staleness` loads half at once, oldest
-// first: fewer than half stretches the time in which stale samples are made, more leaves the current step too
-// few engines. `idle` loads an eighth, the least busy first: a load costs the streams it interrupts, and an
-// eighth fewer engines is about what a step's tail leaves unused. A failed load is tried again after 250 ms,
-// doubled up to 8 s, so one broken engine neither blocks its wave nor floods the store. The target is always
-// the newest announced version, so orders only go up, and an engine that reports older weights than ordered
-// is behind again, whatever an earlier order answered.
+// few fetches a second. Loading all at once leaves the step without engines and queues at the store; one by
+// one, the last engine generates stale samples until the next version is announced. Fetches are requested
+// before the load order, so a wave never waits for the store while engines idle. `staleness` loads half at
+// once, oldest first: fewer prolongs the generation of stale samples, more leaves the current step too few
+// engines. `idle` loads an eighth, the least busy first: a load interrupts its engine's streams, and an
+// eighth is about what a step's tail leaves unused. A failed load is retried after 250 ms, doubled up to 8 s,
+// so one broken engine neither blocks its wave nor floods the store. Orders always name the newest announced
+// version, so versions only increase, and an engine that reports older weights is behind again, whatever the
+// response to an earlier order.
 wave_actions plan_wave(const std::vector<wave_engine>& engines, std::uint64_t announced,
                        wave_strategy strategy, time_point now)
 {
--- a/src/policy/wave_plan.hpp
+++ b/src/policy/wave_plan.hpp
@@ -1,4 +1,4 @@
-/// Which engines load the newest weights now.
+/// Plans which engines load the newest weights now.
 #ifndef VANILLAGAUGE_POLICY_WAVE_PLAN_HPP
 #define VANILLAGAUGE_POLICY_WAVE_PLAN_HPP
 
@@ -13,33 +13,33 @@
 
 struct wave_engine {
     std::string id;
-    std::uint64_t version = 0; ///< as it reports; 0: not known
+    std::uint64_t version = 0; ///< as reported by the engine; 0: unknown
     int in_flight = 0;
-    bool fetch_granted = false;   ///< its share of the weight store's rate for the version is granted
-    bool fetch_requested = false; ///< asked for
-    bool order_pending = false;   ///< an order is under way
+    bool fetch_granted = false;   ///< the weight store has granted the fetch of the version
+    bool fetch_requested = false; ///< grant requested
+    bool order_pending = false;   ///< a load order is in progress
     bool leaving = false;
     bool reachable = true;
-    int failures = 0; ///< orders in a row that failed
+    int failures = 0; ///< consecutive failed load orders
     time_point failed_at{};
 };
 
 enum class wave_strategy {
-    staleness, ///< new weights soon: half of the engines at once
-    idle,      ///< engines kept busy: an eighth at once, the least loaded first
-    drain_all, ///< the plain baseline: stop all, wait until none runs, load all at once
+    staleness, ///< minimises stale samples: half of the engines at once
+    idle,      ///< minimises idle engines: an eighth at once, the least loaded first
+    drain_all, ///< baseline of measurements: drains all engines, then loads all at once
 };
 
 struct wave_actions {
-    std::vector<std::string> fetch; ///< ask the weight store for these
-    std::vector<std::string> order; ///< order these to load the version
-    bool hold_new_work = false;     ///< start nothing on engines that lie behind
+    std::vector<std::string> fetch; ///< request these from the weight store
+    std::vector<std::string> order; ///< send these a load order
+    bool hold_new_work = false;     ///< start nothing on engines with old weights
 };
 
 wave_actions plan_wave(const std::vector<wave_engine>& engines, std::uint64_t announced,
                        wave_strategy strategy, time_point now);
 
-/// How many of the engines that can load may do so at once.
+/// How many of `able` engines may load at once.
 std::size_t max_wave_loads(std::size_t able, wave_strategy strategy);
 
 } // namespace vanillagauge::policy
--- a/src/policy/weight_load_plan.cpp
+++ b/src/policy/weight_load_plan.cpp
@@ -8,8 +8,8 @@
 namespace vanillagauge::policy {
 namespace {
 
-/// Loads slow each other down once more than about a fifth of the engines load: then more at once end no
-/// sooner, and each takes its engine's places away for longer.
+/// Above about a fifth of the engines, concurrent loads slow each other down: they finish no sooner and block
+/// their engines for longer.
 constexpr std::size_t share_at_once = 5;
 constexpr std::size_t min_at_once = 2;
 
@@ -27,8 +27,8 @@
     std::uint64_t lag() const { return newest - std::min(newest, version_at(*engine, model)); }
 };
 
-/// Models take turns in choosing an engine, each the one that is least behind for it, so that an engine keeps
-/// its model while others come and go.
+/// Models choose engines round robin, each the engine with its newest version, so that the assignment stays
+/// stable while engines join and leave.
 std::vector<assignment> assign(const std::vector<model_engine>& engines,
                                const std::map<std::string, std::uint64_t>& newest)
 {
@@ -62,12 +62,11 @@
     return std::max(min_at_once, engines / share_at_once);
 }
 
-// Load pattern: several trainers name a new version every few seconds for models on the same engines. If
-// every engine loaded every model, loads would follow each other without end (two models on nine engines: 18
-// loads of a second in four seconds, two at a time), no engine would reach the newest version before the next
-// is named, and the steps of one trainer would find none that is fresh enough. So each engine keeps up with
-// one model only; the other models it holds age, and serve as long as they are fresh enough. Those furthest
-// behind load first: they are the next to be too old for any batch.
+// Load pattern: several trainers announce a new version every few seconds for models on the same engines. If
+// every engine loaded every model, loads would never catch up (two models on nine engines: 18 one-second
+// loads in four seconds, two at a time), no engine would reach the newest version before the next
+// announcement, and a trainer's steps would find no engine that is fresh enough. So each engine follows one
+// model only; its other models serve until they are too old. The engines furthest behind load first.
 std::vector<weight_load> plan_weight_loads(const std::vector<model_engine>& engines,
                                            const std::map<std::string, std::uint64_t>& newest)
 {
--- a/src/policy/weight_load_plan.hpp
+++ b/src/policy/weight_load_plan.hpp
@@ -1,4 +1,4 @@
-/// Which engines load which model's new weights next, where engines hold several models.
+/// Plans which engine loads new weights of which model next, where an engine holds several models.
 #ifndef VANILLAGAUGE_POLICY_WEIGHT_LOAD_PLAN_HPP
 #define VANILLAGAUGE_POLICY_WEIGHT_LOAD_PLAN_HPP
 
@@ -15,7 +15,7 @@
     std::map<std::string, std::uint64_t> versions; ///< by model
     int in_flight = 0;
     bool loading = false;
-    bool backing_off = false; ///< an order to it failed a moment ago
+    bool backing_off = false; ///< its last load order failed recently
 };
 
 struct weight_load {
@@ -26,11 +26,11 @@
     friend bool operator==(const weight_load&, const weight_load&) = default;
 };
 
-/// The models' newest versions are in `newest`.
+/// `newest`: the newest version of each model.
 std::vector<weight_load> plan_weight_loads(const std::vector<model_engine>& engines,
                                            const std::map<std::string, std::uint64_t>& newest);
 
-/// How many of the engines load at once.
+/// How many of `engines` engines may load at once.
 std::size_t max_concurrent_loads(std::size_t engines);
 
 } // namespace vanillagauge::policy
--- a/src/policy/work.hpp
+++ b/src/policy/work.hpp
@@ -1,4 +1,4 @@
-/// A request as the decisions under load see it.
+/// A request, as seen by load management.
 #ifndef VANILLAGAUGE_POLICY_WORK_HPP
 #define VANILLAGAUGE_POLICY_WORK_HPP
 
@@ -11,7 +11,7 @@
 
 namespace vanillagauge::policy {
 
-/// In the order in which they are served.
+/// From highest to lowest.
 enum class priority { gate, member, batch };
 constexpr std::size_t priority_count = 3;
 
@@ -22,11 +22,11 @@
     std::uint64_t id = 0;
     std::string caller;
     priority urgency = priority::member;
-    double cost = 1; ///< against the work of other callers
+    double cost = 1; ///< relative to other requests, for fair queueing
     time_point deadline;
     std::string near_domain;
-    std::uint64_t prefix = 0;    ///< hash of what targets may have cached; 0: no affinity
-    std::set<std::string> tried; ///< targets that are not to be used again
+    std::uint64_t prefix = 0;    ///< hash of a prefix that targets may have cached; 0: no affinity
+    std::set<std::string> tried; ///< targets not to use again
 };
 
 } // namespace vanillagauge::policy
