--- a/src/policy/fair_queue.cpp
+++ b/src/policy/fair_queue.cpp
@@ -51,10 +51,10 @@
     }
     const double wait = drain_rate_ > 0 ? static_cast<double>(requests_ahead(item)) / drain_rate_ : 0;
     if (wait_policy_ == wait_policy::shed_early && std::chrono::duration<double>(wait) > allowed_wait) {
-        return refused("the line is longer than the request may wait");
+        return refused("the queue is longer than the request may wait");
     }
     if (size() >= max_waiting && !evict_for(item)) {
-        return refused("the line is full");
+        return refused("the queue is full");
     }
     insert(std::move(item), now + allowed_wait, now);
     return done{};
@@ -194,7 +194,7 @@
         }
         const auto id = longest->ids.back();
         remove(id);
-        refused_.push_back({id, refused("gave way to another caller or class")});
+        refused_.push_back({id, refused("evicted for a request of another caller or class")});
         return true;
     }
     return false;
--- a/src/policy/quarantine.cpp
+++ b/src/policy/quarantine.cpp
@@ -162,8 +162,7 @@
         return done{};
     }
     return error{error_code::quarantined, run_state::not_run,
-                 "targets were lost while they ran this request: " +
-                     std::to_string(found->second.targets.size()),
+                 "targets lost while running this request: " + std::to_string(found->second.targets.size()),
                  remaining(now, found->second.expires)};
 }
 
