--- a/tests/policy/decision_tests.cpp
+++ b/tests/policy/decision_tests.cpp
@@ -7,7 +7,7 @@
 
 const time_point start{std::chrono::hours{1}};
 
-TEST(retry_budget, holds_retries_to_a_share_of_the_requests)
+TEST(retry_budget, limits_retries_to_a_share_of_requests)
 {
     retry_budget budget;
     int retried = 0;
@@ -19,7 +19,7 @@
     EXPECT_GE(retried, 1900);
 }
 
-TEST(retry_budget, lets_a_quiet_group_retry_after_a_while)
+TEST(retry_budget, refills_without_traffic)
 {
     retry_budget budget;
     while (budget.take(start)) {
@@ -28,7 +28,7 @@
     EXPECT_TRUE(budget.take(start + milliseconds{1600}));
 }
 
-TEST(retry, is_safe_only_for_idempotent_calls_or_what_did_not_run)
+TEST(retry, is_safe_only_if_idempotent_or_not_run)
 {
     const error broke{error_code::unavailable, run_state::in_doubt, ""};
     const error refused{error_code::unavailable, run_state::not_run, ""};
@@ -39,9 +39,8 @@
     EXPECT_FALSE(retry_is_safe(wrong, true));
 }
 
-// A request crashes the target that runs it and its caller sends it again, through whichever node. After two
-// targets it is refused everywhere as not run, until the record has run out.
-TEST(quarantine, holds_a_request_that_lost_two_targets_on_every_node)
+// Guards against retries of a poison request that crash one target after another through different nodes.
+TEST(quarantine, blocks_a_poison_request_on_every_node)
 {
     const auto poison = request_fingerprint("reply-lm", "Generate", "bad");
     quarantine first;
@@ -62,7 +61,7 @@
     }
 }
 
-TEST(quarantine, clears_a_request_that_was_only_there_when_targets_were_lost)
+TEST(quarantine, clears_a_request_that_completes_between_crashes)
 {
     quarantine node;
     node.on_crash(7, "engine-1", start, start);
@@ -71,9 +70,8 @@
     EXPECT_TRUE(ok(node.check(7, start)));
 }
 
-// Two targets are lost to one request. Pooled connections to them break under later, innocent requests, which
-// would all be refused for ten minutes if each broken connection counted as a crash.
-TEST(quarantine, does_not_suspect_requests_sent_after_a_target_was_lost)
+// Guards against blocking harmless requests whose pooled connections to crashed targets fail.
+TEST(quarantine, ignores_stale_connections_to_crashed_targets)
 {
     quarantine node;
     node.on_crash(7, "engine-1", start, start + milliseconds{5});
@@ -85,9 +83,9 @@
     EXPECT_TRUE(ok(node.check(8, later + milliseconds{3})));
 }
 
-// An innocent request was under way at two nodes when a target of each was lost, and is answered at a third.
-// Late word of the crashes must not hold it there, and word of the answer clears it at the other two.
-TEST(quarantine, clears_everywhere_what_was_answered_anywhere)
+// A harmless request was in flight at two crashed targets and completes at a third node: late crash records
+// must not block it there, and the clearance must reach the other two nodes.
+TEST(quarantine, propagates_clearances_to_all_nodes)
 {
     quarantine first;
     quarantine second;
@@ -104,7 +102,7 @@
     }
 }
 
-TEST(quarantine, tells_what_changed_since_it_was_asked_and_all_after_a_restart)
+TEST(quarantine, sends_changes_only_and_everything_after_a_restart)
 {
     quarantine node;
     node.on_crash(1, "engine-1", start, start);
@@ -119,12 +117,12 @@
     EXPECT_EQ(node.update_since(1000, start).suspects.size(), 2U);
     quarantine other;
     EXPECT_TRUE(other.merge(after, start));
-    EXPECT_FALSE(other.merge(after, start)) << "what is known is no news, or it would be told for ever";
+    EXPECT_FALSE(other.merge(after, start)) << "known records must not be forwarded again";
 }
 
-// Each target is lost under another node's eyes. With its own losses a node holds sooner than with those it
-// was told of: an innocent request may be under way at several nodes when targets are lost.
-TEST(quarantine, needs_more_losses_where_it_saw_none_itself)
+// Losses seen by other nodes weigh less than own ones: a harmless request may be in flight at several nodes
+// when targets crash.
+TEST(quarantine, requires_more_losses_if_seen_by_other_nodes)
 {
     quarantine node({2, 3});
     quarantine other({2, 3});
@@ -138,9 +136,8 @@
     EXPECT_FALSE(ok(node.check(7, start)));
 }
 
-// A request whose crashes all show on connections from the pool would be sent on for ever, for such breaks
-// are mostly the ends of targets that were lost before.
-TEST(quarantine, suspects_after_a_doubtful_crash_without_holding)
+// Guards against a poison request that is never detected because it always gets pooled connections.
+TEST(quarantine, possible_crash_only_marks_a_suspect)
 {
     quarantine node;
     node.on_possible_crash(7, start);
@@ -151,7 +148,7 @@
     EXPECT_FALSE(node.is_suspect(7, start));
 }
 
-TEST(quarantine, keeps_its_memory_bounded_and_what_it_holds)
+TEST(quarantine, evicts_suspects_before_quarantined_requests)
 {
     quarantine node;
     node.on_crash(1, "engine-1", start, start);
@@ -163,7 +160,7 @@
     EXPECT_FALSE(ok(node.check(1, start + seconds{2})));
 }
 
-TEST(load_hint, moves_slowly_and_never_to_nothing)
+TEST(load_hint, changes_gradually_down_to_a_minimum)
 {
     load_hint hint;
     hint.on_report({100, 0, 10, {}}, start);
@@ -176,14 +173,14 @@
     EXPECT_NEAR(hint.weight(start + seconds{4}), 1.0, 1e-9);
 }
 
-TEST(load_hint, ignores_a_report_that_is_too_old)
+TEST(load_hint, ignores_stale_reports)
 {
     load_hint hint;
     hint.on_report({100, 0, 10, seconds{5}}, start);
     EXPECT_NEAR(hint.weight(start), 1.0, 1e-9);
 }
 
-TEST(concurrency_limit, one_burst_of_failures_cuts_once)
+TEST(concurrency_limit, failure_burst_decreases_the_limit_once)
 {
     concurrency_limit limit(16);
     const int before = limit.limit();
@@ -194,9 +191,8 @@
     EXPECT_LT(limit.limit(), before);
 }
 
-// The latency without a queue changes for good, say after a weight swap to a larger model. A baseline that is
-// never measured again would hold the limit at its least for ever.
-TEST(concurrency_limit, finds_a_new_baseline)
+// Guards against a limit stuck at its minimum after the queue-free latency rises, as with a larger model.
+TEST(concurrency_limit, adapts_to_a_new_baseline)
 {
     concurrency_limit limit(16);
     auto now = start;
@@ -214,7 +210,7 @@
     EXPECT_GT(limit.limit(), before / 2);
 }
 
-TEST(fair_queue, refuses_a_request_whose_deadline_has_passed_as_not_run)
+TEST(fair_queue, refuses_expired_requests_as_not_run)
 {
     fair_queue queue(1);
     work item;
@@ -225,9 +221,8 @@
     EXPECT_EQ(failure(refused).ran, run_state::not_run);
 }
 
-// The queue is full of one caller's requests. Another caller's, and a gate terminal's, still get in: the hot
-// caller's newest are turned away for them, with advice.
-TEST(fair_queue, a_full_queue_makes_room_for_others_at_the_hot_callers_cost)
+// Guards against one caller that fills the queue and locks out other callers and higher classes.
+TEST(fair_queue, evicts_the_heaviest_caller_when_full)
 {
     fair_queue queue(1);
     std::uint64_t id = 0;
--- a/tests/policy/order_lease_tests.cpp
+++ b/tests/policy/order_lease_tests.cpp
@@ -12,7 +12,7 @@
     return {.self = vm, .ttl = milliseconds{3000}, .max_order_time = milliseconds{3000}};
 }
 
-/// The lease object: each write that names the standing version succeeds.
+/// The stored lease: a write succeeds if it names the current version.
 struct lease_object {
     std::string holder;
     std::string previous_holder;
@@ -51,7 +51,7 @@
     }
 }
 
-/// Reads that there is none, and writes it.
+/// Finds no lease and creates it.
 void take_lease(order_lease& lease, lease_object& store, const std::string& vm)
 {
     lease.on_candidate(true);
@@ -59,7 +59,7 @@
     step(lease, store, vm, start);
 }
 
-TEST(order_lease, lets_the_first_holder_order_at_once)
+TEST(order_lease, first_holder_may_order_at_once)
 {
     order_lease lease(options("a"));
     lease_object store;
@@ -67,9 +67,8 @@
     EXPECT_EQ(lease.fencing_token(start), store.version);
 }
 
-// Two machines order the same engine in turn, the second with a lower number. Both believe that the fleet's
-// view names them while one is cut off. The view must not decide: the lease of a holder that renews is never
-// taken.
+// Guards against a takeover from a holder that renews, when a network partition makes two VMs consider
+// themselves selected.
 TEST(order_lease, is_not_taken_from_a_holder_that_renews)
 {
     order_lease holder(options("a"));
@@ -85,9 +84,8 @@
     }
 }
 
-// A holder is suspended at its renewal: its own clock stands still, the others' do not. It wakes when another
-// holds the lease, and must not order by what it remembers.
-TEST(order_lease, keeps_two_holders_orders_apart)
+// Guards against orders of a holder that was suspended, with its clock stopped, while another VM took over.
+TEST(order_lease, separates_orders_of_two_holders)
 {
     order_lease holder(options("a"));
     order_lease other(options("b"));
@@ -114,9 +112,9 @@
     EXPECT_FALSE(holder.fencing_token(now));
 }
 
-// The store does a renewal whose answer is lost. The next renewal names the version before and is refused;
-// reading shows the machine's own name, so nobody else has held the lease between.
-TEST(order_lease, goes_on_after_a_renewal_whose_answer_was_lost)
+// A renewal takes effect but its response is lost, so the next one conflicts. The read shows the VM's own
+// name: nobody else has held the lease in between.
+TEST(order_lease, continues_after_a_lost_renewal_response)
 {
     order_lease lease(options("a"));
     lease_object store;
@@ -131,7 +129,7 @@
     EXPECT_EQ(lease.fencing_token(now), store.version);
 }
 
-TEST(order_lease, stops_before_its_end_when_the_store_does_not_answer)
+TEST(order_lease, stops_before_expiry_without_a_renewal)
 {
     order_lease lease(options("a"));
     lease_object store;
@@ -140,9 +138,8 @@
     EXPECT_FALSE(lease.fencing_token(start + milliseconds{2700}));
 }
 
-// Every VM is restarted in turn, each some seconds after the other. A lease that must lapse each time leaves
-// the engines without new weights for six seconds a holder.
-TEST(order_lease, is_taken_at_once_from_a_holder_that_gave_it_up)
+// Guards against a rolling restart in which each holder's lease must expire before the next one may order.
+TEST(order_lease, takeover_after_release_does_not_wait_for_expiry)
 {
     order_lease holder(options("a"));
     order_lease other(options("b"));
@@ -161,13 +158,12 @@
         }
     }
     ASSERT_TRUE(first_order);
-    EXPECT_GE(*first_order - start, milliseconds{3000}) << "orders of two holders lie apart";
+    EXPECT_GE(*first_order - start, milliseconds{3000}) << "orders of two holders must be separated";
     EXPECT_LE(*first_order - start, milliseconds{3200});
 }
 
-// All machines lose power. The holder's next process finds itself named while another machine ranks first
-// now; without it the lease would have to lapse and nobody would order for six seconds.
-TEST(order_lease, is_retaken_at_once_by_a_machine_that_finds_itself_named)
+// Guards against waiting for the expiry of the VM's own lease after a power loss of all VMs.
+TEST(order_lease, restarted_holder_continues_at_once)
 {
     order_lease before(options("a"));
     lease_object store;
@@ -181,9 +177,9 @@
     EXPECT_EQ(after.fencing_token(back), store.version);
 }
 
-// The holder had taken the lease over from another machine and was waiting for that one's last orders to
-// arrive when it lost its power. Its next process must not order earlier than it would have itself.
-TEST(order_lease, retaken_keeps_the_wait_for_the_holder_before)
+// The holder lost power during its wait for the previous holder's last orders: its next process must not
+// order before that wait is over.
+TEST(order_lease, restarted_holder_keeps_the_takeover_wait)
 {
     order_lease lost(options("x"));
     order_lease before(options("a"));
@@ -210,10 +206,9 @@
     EXPECT_GE(*first_order - (start + last_of_lost), milliseconds{3000});
 }
 
-// All machines are restarted in turn. The holder comes back 1.6 s after it gave the lease up and goes on at
-// once; had another taken it in the meantime, nobody would order for three seconds, and again when that one's
-// turn comes.
-TEST(order_lease, given_up_is_left_to_its_holder_for_the_time_of_a_restart)
+// Guards against a takeover from a holder that restarts within 1.6 s in a rolling restart: each takeover
+// costs three seconds without orders.
+TEST(order_lease, released_lease_is_reserved_for_a_restart)
 {
     order_lease before(options("a"));
     order_lease other(options("b"));
@@ -235,9 +230,9 @@
     EXPECT_TRUE(after.fencing_token(now));
 }
 
-// The holder dies just after a renewal. The successor read the lease a moment before and would read it again
-// a whole length later; the fleet's word that the holder is gone makes it look at once.
-TEST(order_lease, read_in_doubt_is_waited_out_from_that_moment)
+// Guards against a successor that notices a holder's failure only at its next regular read, up to one lease
+// later.
+TEST(order_lease, invalidation_starts_the_expiry_wait)
 {
     order_lease holder(options("a"));
     order_lease other(options("b"));
@@ -257,12 +252,12 @@
         }
     }
     ASSERT_TRUE(taken);
-    EXPECT_GE(*taken, renewal + milliseconds{3000}) << "the lease has not ended";
+    EXPECT_GE(*taken, renewal + milliseconds{3000}) << "the lease has not expired";
     EXPECT_LE(*taken, doubt + milliseconds{3300});
 }
 
-// Another machine took the lease while the process was down: that one's lease is waited out like anybody's.
-TEST(order_lease, named_for_another_is_not_retaken)
+// Another VM took the lease while the process was down: its lease must expire first.
+TEST(order_lease, restart_does_not_retake_a_lost_lease)
 {
     order_lease other(options("b"));
     lease_object store;
@@ -275,7 +270,7 @@
     EXPECT_EQ(store.holder, "b");
 }
 
-TEST(order_lease, gives_a_stopping_process_no_order)
+TEST(order_lease, stopping_process_may_not_order)
 {
     order_lease lease(options("a"));
     lease_object store;
--- a/tests/policy/placement_tests.cpp
+++ b/tests/policy/placement_tests.cpp
@@ -15,7 +15,7 @@
     return item;
 }
 
-/// Places requests until none has room; counts by target.
+/// Places requests until all targets are full; counts them by target.
 std::map<std::string, int> fill(target_pool& pool, const work& item)
 {
     std::map<std::string, int> taken;
@@ -25,7 +25,7 @@
     return taken;
 }
 
-TEST(placement, prefers_the_near_domain_and_spills_when_it_is_full)
+TEST(placement, prefers_the_near_domain_until_full)
 {
     target_pool pool(1, {});
     pool.update({{"n", "near"}, {"f", "far"}}, start);
@@ -38,7 +38,7 @@
     EXPECT_EQ(pool.acquire(from_near(), start), std::nullopt);
 }
 
-TEST(placement, gives_a_slow_target_less_work)
+TEST(placement, sends_less_work_to_a_slow_target)
 {
     target_pool pool(1, {});
     pool.update({{"slow", "near"}, {"b", "near"}, {"c", "near"}}, start);
@@ -58,10 +58,9 @@
     EXPECT_LT(taken["slow"], 200);
 }
 
-// Two of three targets break every request off at once. Only one of them may be ejected; the other always has
-// room, so placement by load keeps sending it half of the requests, and callers of what may run only once are
-// failed while the sound target stands nearly idle.
-TEST(placement, prefers_a_sound_target_to_one_that_just_failed_and_may_not_be_ejected)
+// Guards against least-loaded placement that prefers a failing target which may not be ejected, because its
+// fast failures always leave it capacity.
+TEST(placement, avoids_failing_targets_that_may_not_be_ejected)
 {
     target_pool pool(1, {});
     pool.update({{"bad1", "near"}, {"bad2", "near"}, {"good", "near"}}, start);
@@ -75,12 +74,12 @@
         failed += bad ? 1 : 0;
         pool.release(*id, {bad ? attempt_result::failed : attempt_result::answered, milliseconds{5}}, now);
     }
-    EXPECT_LT(failed, 30) << "a trial a second, of ten seconds";
-    EXPECT_GE(failed, 4) << "they are tried again, or nobody would see them recover";
+    EXPECT_LT(failed, 30) << "one trial a second for ten seconds";
+    EXPECT_GE(failed, 4) << "trials must detect a recovery";
 }
 
-// All targets fail for a moment, or the fault is on this side. Work must not stop.
-TEST(placement, goes_on_where_every_target_just_failed)
+// Guards against no work at all when every target fails or the fault is local.
+TEST(placement, uses_failing_targets_if_all_fail)
 {
     target_pool pool(1, {});
     pool.update({{"a", "near"}, {"b", "near"}}, start);
@@ -92,8 +91,8 @@
     EXPECT_TRUE(pool.acquire(from_near(), start));
 }
 
-// The sound target is full: a target that just failed is better than a place in the line.
-TEST(placement, uses_a_target_that_just_failed_when_the_others_are_full)
+// A target that just failed is better than the queue.
+TEST(placement, uses_failing_targets_if_the_others_are_full)
 {
     target_pool pool(1, {});
     pool.update({{"bad", "near"}, {"good", "near"}, {"good2", "far"}}, start);
@@ -110,7 +109,7 @@
     EXPECT_GE(taken.at("bad"), 1);
 }
 
-TEST(placement, leaves_out_what_is_leaving_or_tried_already)
+TEST(placement, skips_leaving_and_tried_targets)
 {
     target_pool pool(1, {});
     pool.update({{"leaving", "near", true}, {"tried", "near"}, {"free", "far"}}, start);
@@ -121,7 +120,7 @@
     EXPECT_EQ(taken.begin()->first, "free");
 }
 
-TEST(placement, keeps_a_prefix_at_its_target_up_to_the_load_bound)
+TEST(placement, prefix_affinity_respects_the_load_bound)
 {
     target_pool pool(1, {});
     std::vector<pool_target> targets;
@@ -143,7 +142,7 @@
     for (int index = 0; index < 100; ++index) {
         ++hot[*pool.acquire(item, start)];
     }
-    EXPECT_LE(hot[*alone.begin()], 9); // a quarter above the mean of five, and two for rounding and choices
+    EXPECT_LE(hot[*alone.begin()], 9); // 1.25 times the mean of five, and two for rounding and choices
     EXPECT_GT(hot.size(), 10U);
 }
 
--- a/tests/policy/scheduler_tests.cpp
+++ b/tests/policy/scheduler_tests.cpp
@@ -20,10 +20,9 @@
     return {caller, urgency, service, milliseconds{500}};
 }
 
-// At five times what the targets serve, a plain proxy answers everything late: each request waits behind all
-// that came before it. Callers here see nearly the full capacity answered in time, and the rest is told at
-// once, or after half of its time at the latest, that it was not run and when to come back.
-TEST(saturation, goodput_stays_near_capacity_and_the_rest_is_refused_early)
+// Guards against congestion collapse: under overload goodput stays near capacity, and the other requests are
+// refused within half of their time as not run, with a retry delay.
+TEST(saturation, keeps_goodput_near_capacity_with_early_refusals)
 {
     for (const double times : {1.0, 2.0, 5.0}) {
         simulation run(four_targets(), adaptive);
@@ -33,14 +32,14 @@
         EXPECT_GT(seen.in_time, 0.9 * capacity * 10) << times;
         EXPECT_LT(seen.late, 0.002 * capacity * 10) << times;
         EXPECT_LE(seen.max_refusal_time, milliseconds{250}) << times;
-        EXPECT_LT(seen.quantile(0.9), milliseconds{250}) << times; // a standing line is kept short
+        EXPECT_LT(seen.quantile(0.9), milliseconds{250}) << times; // a standing queue is kept short
         if (seen.refused > 0) {
             EXPECT_GE(seen.min_retry_after, milliseconds{50}) << times;
         }
     }
 }
 
-TEST(saturation, is_what_the_plain_baseline_does_not_survive)
+TEST(saturation, collapses_goodput_of_the_unlimited_baseline)
 {
     simulation run(four_targets(), plain);
     run.load(capacity * 2, seconds{10}, [] { return from_caller("phone"); });
@@ -48,10 +47,9 @@
     EXPECT_LT(run.outcome_of("phone").success_share(), 0.2);
 }
 
-// The texts of a step are whole at once: sixty calls of 200 ms for ten places, and nobody else to ask. Turned
-// away like callers they would come again and again; in their own line each is made once, one after the
-// other.
-TEST(burst, of_work_with_nowhere_else_to_go_waits_until_it_is_due)
+// Guards against refusing and retrying background calls that no other node can serve: sixty calls of 200 ms
+// with a concurrency of ten wait in the queue, and each runs once.
+TEST(burst, queues_background_work_until_its_deadline)
 {
     const pool_options options{.limited = true, .initial_limit = 5, .adaptive = false};
     scheduler decisions(7, options, wait_policy::until_deadline);
@@ -87,9 +85,8 @@
     EXPECT_EQ(decisions.waiting(), 0U);
 }
 
-// A forecast turns and ten times as many callers come within a second, then it is over. Afterwards callers
-// must be served as before: the burst leaves no line behind.
-TEST(burst, is_over_when_it_ends)
+// Guards against a queue that stays long after a burst of ten times the load.
+TEST(burst, leaves_no_standing_queue)
 {
     simulation run(four_targets(), adaptive);
     run.load(capacity / 2, seconds{10}, [] { return from_caller("before"); });
@@ -101,9 +98,8 @@
     EXPECT_GT(run.outcome_of("surge").in_time, 0.3 * capacity * 2);
 }
 
-// One caller sends five times what all targets serve. The others together ask for less than their share; what
-// they get must not depend on the hot one.
-TEST(hot_caller, leaves_the_quiet_ones_their_share)
+// Guards against one caller at five times the capacity that takes the share of callers below theirs.
+TEST(hot_caller, does_not_starve_other_callers)
 {
     simulation run(four_targets(), adaptive);
     run.load(capacity * 5, seconds{10}, [] { return from_caller("hot"); });
@@ -118,9 +114,9 @@
     EXPECT_GT(run.outcome_of("hot").in_time, 0.4 * capacity * 10);
 }
 
-// Rollouts and batches fill every target when drivers come to a barrier: the gate terminals go first. They
-// come after two seconds, in which the limits are found under overload from a standing start.
-TEST(priority, gate_terminals_go_before_batches)
+// Guards against gate terminals that wait behind batches. They start after two seconds, when the limits have
+// been found under overload.
+TEST(priority, serves_gate_terminals_before_batches)
 {
     simulation run(four_targets(), adaptive);
     run.load(capacity * 4, seconds{10}, [] { return from_caller("batch", priority::batch); });
@@ -132,9 +128,8 @@
     EXPECT_GT(run.outcome_of("batch").in_time, 0.5 * capacity * 10);
 }
 
-// One target becomes ten times slower. Its callers would wait ten times as long; it is ejected, and what the
-// others serve is not touched.
-TEST(slow_target, loses_its_work_within_seconds)
+// Guards against a target that becomes ten times slower and keeps its share of the requests.
+TEST(slow_target, stops_getting_work_within_seconds)
 {
     simulation run(four_targets(), adaptive);
     run.load(capacity / 4, seconds{10}, [] { return from_caller("phone"); });
@@ -147,8 +142,8 @@
     EXPECT_LT(run.outcome_of("phone").quantile(0.98), milliseconds{60});
 }
 
-// A target that fails at once always has room and would draw the whole load.
-TEST(failing_target, is_ejected_and_the_rest_is_not)
+// Guards against a failing target whose free capacity attracts the whole load.
+TEST(failing_target, is_ejected_alone)
 {
     simulation run(four_targets(), adaptive);
     run.target("a").fails = true;
@@ -158,8 +153,8 @@
     EXPECT_GT(run.outcome_of("phone").success_share(), 0.98);
 }
 
-// Every target fails: ejecting them all would refuse callers on our own account. At most a third is out.
-TEST(failing_target, the_floor_keeps_most_targets_in)
+// Guards against ejecting all targets when all fail: at most a third is ejected.
+TEST(failing_target, ejection_is_bounded_if_all_fail)
 {
     auto targets = four_targets();
     for (auto& target : targets) {
@@ -172,9 +167,8 @@
     EXPECT_EQ(run.outcome_of("phone").refused, 0);
 }
 
-// One request in twenty takes twenty times as long. The short ones must not be refused because the long ones
-// look like a slow target, nor wait behind them for long.
-TEST(long_among_short, both_are_served)
+// Guards against a few long requests that make targets look slow, or delay the short ones.
+TEST(long_among_short, both_succeed)
 {
     simulation run(four_targets(), adaptive);
     run.load(capacity / 4, seconds{20}, [&] {
@@ -190,9 +184,9 @@
     EXPECT_LT(run.outcome_of("short").quantile(0.9), milliseconds{100});
 }
 
-// A report that is ten times too high, and reports that come two seconds late: neither starves the target nor
-// sends the load back and forth between targets.
-TEST(load_reports, that_are_late_or_wrong_change_little)
+// Guards against load reports, too high by ten times or two seconds late, that starve a target or make load
+// oscillate.
+TEST(load_reports, have_little_effect_if_late_or_wrong)
 {
     simulation run(four_targets(), adaptive);
     run.target("a").report_factor = 10;
@@ -203,8 +197,8 @@
     EXPECT_GT(run.target("a").started, 0.05 * run.outcome_of("phone").requests);
 }
 
-// A replacement joins during a surge. It may have little in flight at first, however idle it looks.
-TEST(new_target, is_not_flooded)
+// Guards against flooding a new target, which looks idle, during a surge.
+TEST(new_target, ramps_up_slowly)
 {
     simulation run({{"a", "near"}, {"b", "near"}, {"c", "near"}}, adaptive);
     run.load(capacity * 2, seconds{16}, [] { return from_caller("phone"); });
--- a/tests/policy/simulation.hpp
+++ b/tests/policy/simulation.hpp
@@ -1,4 +1,4 @@
-/// A deterministic discrete-event run of the scheduler before simulated targets, with what callers got.
+/// Deterministic discrete-event simulation of the scheduler with simulated targets and callers.
 #ifndef VANILLAGAUGE_TESTS_POLICY_SIMULATION_HPP
 #define VANILLAGAUGE_TESTS_POLICY_SIMULATION_HPP
 
@@ -10,15 +10,15 @@
 
 namespace vanillagauge::policy {
 
-/// Serves `workers` requests at once; the others wait inside it.
+/// Serves `workers` requests at once and queues the others.
 struct simulated_target {
     std::string id;
     std::string domain;
     int workers = 4;
-    double slowness = 1;      ///< service times are multiplied by this
-    bool fails = false;       ///< answers with a failure at once
-    double report_factor = 1; ///< its load reports are this many times the truth
-    int max_running = 0;      ///< highest number in flight seen
+    double slowness = 1;      ///< factor on service times
+    bool fails = false;       ///< fails immediately
+    double report_factor = 1; ///< factor on its true load in reports
+    int max_running = 0;      ///< maximum number in flight
     std::int64_t started = 0;
     time_point last_start{};
     std::vector<time_point> free_at{};
@@ -38,7 +38,7 @@
     std::int64_t failed = 0;
     std::int64_t refused = 0;
     duration max_refusal_time{0};          ///< from the request to its refusal
-    milliseconds min_retry_after{1 << 30}; ///< advice given with refusals
+    milliseconds min_retry_after{1 << 30}; ///< minimum delay given with refusals
     std::vector<duration> latencies{};
 
     duration quantile(double share) const;
@@ -52,7 +52,7 @@
 public:
     simulation(std::vector<simulated_target> targets, pool_options mode, std::uint64_t seed = 1);
 
-    /// Requests at `rate` a second from now on for `length`, with exponential gaps.
+    /// Poisson arrivals at `rate` a second from now on for `length`.
     void load(double rate, milliseconds length, std::function<simulated_request()> make);
     /// Runs `action` at `when` after the start.
     void at(milliseconds when, std::function<void()> action);
--- a/tests/policy/step_placement_tests.cpp
+++ b/tests/policy/step_placement_tests.cpp
@@ -17,7 +17,7 @@
     return engines;
 }
 
-TEST(step_placement, keeps_most_of_a_group_on_the_engine_that_has_its_prefix)
+TEST(step_placement, keeps_most_of_a_group_on_one_engine)
 {
     auto engines = eight_engines();
     int together = 0;
@@ -36,8 +36,7 @@
     EXPECT_GE(together, 32);
 }
 
-// All groups share one prompt. Affinity alone would send the whole step to one engine, and it would wait for
-// that one while seven stand idle.
+// Guards against prefix affinity that sends a step with a single prompt to one engine while seven idle.
 TEST(step_placement, spreads_one_hot_prefix_over_all_engines)
 {
     auto engines = eight_engines();
@@ -52,7 +51,7 @@
     EXPECT_GE(used, 7);
 }
 
-TEST(step_placement, uses_no_engine_that_is_full_old_avoided_or_out_of_use)
+TEST(step_placement, skips_full_old_avoided_and_unusable_engines)
 {
     std::vector<engine_view> engines{{"full", 4, 4, 3, true},
                                      {"old", 0, 4, 1, true},
@@ -64,7 +63,7 @@
     EXPECT_EQ(place_round_robin(engines, {1, 2, {}}, 0), 3U);
 }
 
-TEST(job_share, follows_weights_and_leaves_every_job_a_place)
+TEST(job_share, is_proportional_to_weight_and_at_least_one)
 {
     EXPECT_EQ(job_share(100, 3, 4), 75);
     EXPECT_EQ(job_share(100, 1, 4), 25);
--- a/tests/policy/stop_plan_tests.cpp
+++ b/tests/policy/stop_plan_tests.cpp
@@ -13,8 +13,8 @@
     return {count, count, 0};
 }
 
-// Guards against an end that is decided while the process still takes work.
-TEST(stop_plan, ends_only_after_a_step_that_takes_nothing)
+// Guards against an end that is decided while the process still accepts work.
+TEST(stop_plan, ends_only_after_a_step_that_accepts_nothing)
 {
     stop_plan plan(began, grace);
     EXPECT_EQ(plan.advance(began + seconds(3), {}), stop_step::finish);
@@ -22,16 +22,16 @@
     EXPECT_EQ(plan.advance(began + seconds(3), {}), stop_step::end);
 }
 
-// Guards against callers with a kept address that find nobody.
-TEST(stop_plan, serves_on_while_callers_may_keep_the_address)
+// Guards against refusing connections of callers with a cached address.
+TEST(stop_plan, serves_while_callers_may_cache_the_address)
 {
     stop_plan plan(began, grace);
     EXPECT_EQ(plan.advance(began + seconds(2), {}), stop_step::serve);
     EXPECT_EQ(plan.advance(began + seconds(4), requests(1)), stop_step::serve);
 }
 
-// Guards against a busy process that takes work until its last moment.
-TEST(stop_plan, takes_no_more_while_there_is_time_to_finish)
+// Guards against a busy process that accepts work until its end.
+TEST(stop_plan, stops_accepting_in_time_to_finish)
 {
     stop_plan plan(began, grace);
     EXPECT_EQ(plan.advance(began + milliseconds(4700), requests(3)), stop_step::serve);
@@ -42,7 +42,7 @@
     EXPECT_EQ(plan.advance(began + milliseconds(7200), requests(1)), stop_step::end);
 }
 
-TEST(stop_plan, waits_for_batches_until_the_last_moment)
+TEST(stop_plan, waits_for_batches_until_the_give_up_step)
 {
     stop_plan plan(began, grace);
     const open_work batch{0, 0, 1};
@@ -58,8 +58,8 @@
     EXPECT_EQ(plan.advance(began + milliseconds(2600), {5, 0, 0}), stop_step::finish);
 }
 
-// Guards against a stream that is taken although its time reaches beyond the end of the process.
-TEST(stop_plan, takes_only_streams_that_are_over_in_time_once_callers_know)
+// Guards against accepting a stream whose deadline is after the end of the process.
+TEST(stop_plan, accepts_only_streams_that_end_in_time)
 {
     const stop_plan plan(began, grace);
     EXPECT_TRUE(plan.accepts(began + seconds(1), began + seconds(20), response_kind::stream));
@@ -67,8 +67,8 @@
     EXPECT_FALSE(plan.accepts(began + seconds(3), began + seconds(20), response_kind::stream));
 }
 
-// Guards against the refusal of a quick request whose caller would wait for long.
-TEST(stop_plan, takes_whole_answers_while_there_is_time_for_one)
+// Guards against refusing a short request because of its long deadline.
+TEST(stop_plan, accepts_short_requests_with_long_deadlines)
 {
     const stop_plan plan(began, grace);
     EXPECT_TRUE(plan.accepts(began + milliseconds(5000), began + seconds(60), response_kind::complete));
@@ -77,15 +77,15 @@
         plan.accepts(began + milliseconds(6500), began + milliseconds(6600), response_kind::complete));
 }
 
-// Guards against a listener that closes at once where the grace is short.
-TEST(stop_plan, serves_for_a_part_of_a_short_grace)
+// Guards against a listener that closes at once with a short grace.
+TEST(stop_plan, serves_for_part_of_a_short_grace)
 {
     stop_plan plan(began, milliseconds(3000));
     EXPECT_EQ(plan.advance(began + milliseconds(500), requests(1)), stop_step::serve);
     EXPECT_EQ(plan.advance(began + milliseconds(1000), requests(1)), stop_step::finish);
 }
 
-TEST(stop_plan, ends_within_a_grace_that_leaves_no_time)
+TEST(stop_plan, ends_within_a_grace_shorter_than_the_reserve)
 {
     stop_plan plan(began, milliseconds(500));
     EXPECT_EQ(plan.advance(began, requests(1)), stop_step::finish);
--- a/tests/policy/straggler_tests.cpp
+++ b/tests/policy/straggler_tests.cpp
@@ -25,16 +25,15 @@
     EXPECT_EQ(chosen[0].action, straggler_action::race);
 }
 
-TEST(stragglers, leaves_a_sample_alone_that_is_merely_long)
+TEST(stragglers, does_not_race_a_long_sample)
 {
     const auto chosen = find_stragglers(
         nearly_done({stream(1, 800, seconds{4}), stream(2, 190, seconds{1}), stream(3, 200, seconds{1})}));
     EXPECT_TRUE(chosen.empty());
 }
 
-// A whole group hangs on one slow engine. All streams that still run are slow, so compared with each other
-// none is, and the step would wait for all of them.
-TEST(stragglers, races_a_whole_group_on_one_slow_engine)
+// Guards against comparing the running streams only with each other: none stands out if all are slow.
+TEST(stragglers, races_a_group_on_one_slow_engine)
 {
     const auto chosen =
         find_stragglers({6, 4, 8, 200, {stream(1, 20, seconds{1}), stream(2, 22, seconds{1})}});
@@ -42,9 +41,8 @@
     EXPECT_TRUE(find_stragglers({6, 4, 8, 0, {stream(1, 20, seconds{1})}}).empty());
 }
 
-// The connection to the engine went silent for good. Waiting for the stream's own timeout would hold the
-// whole step for seconds, so its sample goes on elsewhere at any point of the step.
-TEST(stragglers, resumes_a_silent_stream_at_once)
+// Guards against a step that waits seconds for the timeout of a stream whose connection is lost.
+TEST(stragglers, resumes_a_stalled_stream_at_once)
 {
     step_view early{16, 0, 8, 200, {stream(1, 80, seconds{3}, seconds{2}), stream(2, 80, seconds{1})}};
     const auto chosen = find_stragglers(early);
@@ -53,7 +51,7 @@
     EXPECT_EQ(chosen[0].action, straggler_action::resume);
 }
 
-TEST(stragglers, races_nothing_early_twice_while_scored_or_without_room)
+TEST(stragglers, does_not_race_early_twice_scoring_or_without_capacity)
 {
     auto slow = stream(3, 10, seconds{1});
     const auto fast = stream(1, 200, seconds{1});
--- a/tests/policy/wave_fence_tests.cpp
+++ b/tests/policy/wave_fence_tests.cpp
@@ -12,7 +12,7 @@
     return {self, enforced, seconds{3}, seconds{5}};
 }
 
-/// Takes the lease as the first of all.
+/// Acquires a lease that nobody has held before.
 wave_fence holder(bool enforced)
 {
     wave_fence fence(settings("a", enforced));
@@ -24,14 +24,14 @@
     return fence;
 }
 
-TEST(wave_fence, lets_the_first_holder_order_at_once_with_the_number_of_its_write)
+TEST(wave_fence, first_holder_orders_at_once_with_its_version)
 {
     for (const bool enforced : {false, true}) {
         EXPECT_EQ(holder(enforced).fencing_token(start), 1U);
     }
 }
 
-TEST(wave_fence, is_closed_to_a_process_that_the_view_does_not_name)
+TEST(wave_fence, requires_selection_by_the_view)
 {
     auto fence = holder(true);
     fence.on_view(false, start, start);
@@ -39,10 +39,9 @@
     EXPECT_EQ(fence.next(start + seconds{1}), fence_action::none);
 }
 
-// The holder is paused for longer than its lease and wakes in the middle of a wave. Its engines ignore
-// fencing numbers, so nothing but its own clock keeps it from loading weights that its successor has
-// replaced.
-TEST(wave_fence, stops_a_holder_that_wakes_after_its_lease)
+// Guards against a holder that resumes after its lease and orders old weights, at engines that ignore fencing
+// tokens.
+TEST(wave_fence, stops_a_paused_holder_after_its_lease)
 {
     auto paused = holder(false);
     EXPECT_TRUE(paused.fencing_token(start + milliseconds{2999}).has_value());
@@ -55,9 +54,9 @@
     EXPECT_FALSE(paused.fencing_token(woken).has_value());
 }
 
-// The lease begins when the write was asked for. Counted from the answer, a pause between the two would let
-// the holder outlive what its successor waits for.
-TEST(wave_fence, counts_the_lease_from_the_moment_the_write_was_asked)
+// Guards against a lease counted from the response: after a pause before it, the holder would exceed the wait
+// of its successor.
+TEST(wave_fence, counts_the_lease_from_the_write_request)
 {
     wave_fence fence(settings("a", false));
     fence.on_view(true, start, start);
@@ -69,7 +68,7 @@
     EXPECT_FALSE(fence.fencing_token(start + seconds{4}).has_value());
 }
 
-TEST(wave_fence, makes_a_successor_wait_for_lease_and_longest_order_where_numbers_are_ignored)
+TEST(wave_fence, successor_waits_if_tokens_are_ignored)
 {
     wave_fence next(settings("b", false));
     next.on_view(true, start, start);
@@ -83,7 +82,7 @@
     EXPECT_EQ(next.fencing_token(after), 8U);
 }
 
-TEST(wave_fence, lets_a_successor_order_at_once_where_numbers_are_enforced)
+TEST(wave_fence, successor_orders_at_once_if_tokens_are_enforced)
 {
     wave_fence next(settings("b", true));
     next.on_view(true, start, start);
@@ -94,10 +93,9 @@
     EXPECT_EQ(next.fencing_token(start), 8U);
 }
 
-// The store is down for long: no lease can be renewed. Without orders the trainers' versions would leave the
-// engines behind until no sample is fresh enough, so the holder goes on with the number it remembers as long
-// as the view is fresh, and a successor after the wait with the highest number an engine has told.
-TEST(wave_fence, goes_on_through_an_outage_with_the_number_remembered)
+// Guards against a store outage that stops all orders: the holder continues with its last token while the
+// view is fresh, and a successor, after the wait, with the highest token reported by an engine.
+TEST(wave_fence, continues_through_a_store_outage)
 {
     auto fence = holder(false);
     const auto later = start + seconds{9};
--- a/tests/policy/wave_plan_tests.cpp
+++ b/tests/policy/wave_plan_tests.cpp
@@ -23,21 +23,21 @@
     return engines;
 }
 
-TEST(wave_plan, asks_the_weight_store_before_any_engine_stands_still)
+TEST(wave_plan, requests_fetches_before_load_orders)
 {
     const auto actions = plan_wave(engines_at(8, 1, false), 2, wave_strategy::staleness, start);
     EXPECT_EQ(actions.fetch.size(), 8U);
     EXPECT_TRUE(actions.order.empty());
 }
 
-TEST(wave_plan, loads_as_many_at_once_as_the_operator_weighs)
+TEST(wave_plan, strategy_bounds_concurrent_loads)
 {
     EXPECT_EQ(plan_wave(engines_at(8, 1), 2, wave_strategy::staleness, start).order.size(), 4U);
     const auto idle = plan_wave(engines_at(8, 1), 2, wave_strategy::idle, start);
     EXPECT_EQ(idle.order, std::vector<std::string>{"7"});
 }
 
-TEST(wave_plan, counts_loads_under_way_into_the_wave)
+TEST(wave_plan, counts_pending_orders)
 {
     auto engines = engines_at(8, 1);
     engines[0].order_pending = true;
@@ -45,7 +45,7 @@
     EXPECT_EQ(plan_wave(engines, 2, wave_strategy::staleness, start).order.size(), 2U);
 }
 
-TEST(wave_plan, gives_a_leaving_engine_nothing)
+TEST(wave_plan, skips_leaving_engines)
 {
     auto engines = engines_at(2, 1);
     engines[0].leaving = true;
@@ -54,9 +54,9 @@
     EXPECT_TRUE(plan_wave({engines[0]}, 2, wave_strategy::staleness, start).order.empty());
 }
 
-// Half of a wave fails to load. The others must go on, and the failed ones come again: left out, they would
-// make stale samples for ever; tried without a pause, they would take the wave's places from the healthy.
-TEST(wave_plan, repairs_a_partial_failure_after_a_growing_pause)
+// Guards against failed loads that are never retried, or are retried without a delay and block the healthy
+// engines of the wave.
+TEST(wave_plan, retries_failed_loads_with_backoff)
 {
     auto engines = engines_at(2, 1);
     engines[0].failures = 1;
@@ -70,7 +70,7 @@
     EXPECT_EQ(plan_wave(engines, 2, wave_strategy::staleness, start + milliseconds{1000}).order.size(), 1U);
 }
 
-TEST(wave_plan, orders_an_engine_again_that_comes_back_with_old_weights)
+TEST(wave_plan, reloads_an_engine_that_returns_with_old_weights)
 {
     auto engines = engines_at(2, 5);
     EXPECT_TRUE(plan_wave(engines, 5, wave_strategy::idle, start).order.empty());
@@ -78,7 +78,7 @@
     EXPECT_EQ(plan_wave(engines, 5, wave_strategy::idle, start).order, std::vector<std::string>{"1"});
 }
 
-TEST(wave_plan, of_the_baseline_drains_all_before_it_loads_all)
+TEST(wave_plan, drain_all_drains_before_loading)
 {
     auto engines = engines_at(4, 1);
     auto actions = plan_wave(engines, 2, wave_strategy::drain_all, start);
--- a/tests/policy/weight_load_plan_tests.cpp
+++ b/tests/policy/weight_load_plan_tests.cpp
@@ -17,10 +17,9 @@
     return engines;
 }
 
-// Two trainers name versions every four seconds for two models on nine engines; a load takes a second, two at
-// a time. Each model must reach the version before the newest on some engine in time, or its trainer stands
-// still.
-TEST(plan_weight_loads, keeps_both_models_fresh_on_engines_that_they_share)
+// Guards against a trainer that stalls because no engine loads its model in time: two models on nine engines,
+// a version of each every four seconds, and two loads of a second at a time.
+TEST(plan_weight_loads, keeps_all_models_fresh_on_shared_engines)
 {
     auto engines = make_engines(9, 1);
     std::map<std::string, std::uint64_t> newest{{"m", 1}, {"n", 1}};
@@ -47,11 +46,11 @@
             EXPECT_GE(fresh, 4) << model << " at second " << second;
         }
     }
-    // One load a version and engine, not one a model: nine for each of the ten namings.
+    // One load for each engine and announcement, not one for each model: nine for each of ten.
     EXPECT_LE(loads, 90);
 }
 
-TEST(plan_weight_loads, loads_a_fifth_of_the_engines_at_once_but_two_at_least)
+TEST(plan_weight_loads, bounds_concurrent_loads)
 {
     const std::map<std::string, std::uint64_t> newest{{"m", 2}};
     EXPECT_EQ(plan_weight_loads(make_engines(9, 1), newest).size(), 2U);
@@ -61,7 +60,7 @@
     EXPECT_EQ(plan_weight_loads(engines, newest).size(), 1U);
 }
 
-TEST(plan_weight_loads, loads_the_engines_furthest_behind_first)
+TEST(plan_weight_loads, loads_engines_furthest_behind_first)
 {
     auto engines = make_engines(3, 4);
     engines[1].versions["m"] = 2;
@@ -69,7 +68,7 @@
     EXPECT_EQ(plan_weight_loads(engines, newest).front(), (weight_load{"e1", "m", 5}));
 }
 
-TEST(plan_weight_loads, leaves_engines_alone_that_rest_or_are_up_to_date)
+TEST(plan_weight_loads, skips_engines_backing_off_or_up_to_date)
 {
     auto engines = make_engines(2, 5);
     const std::map<std::string, std::uint64_t> newest{{"m", 5}};
