--- a/src/gateway/batch.cpp
+++ b/src/gateway/batch.cpp
@@ -113,7 +113,7 @@
 result<batch_header> header_from_json(const std::string& id, const json& value, const json& status)
 {
     return decoded<batch_header>(
-        value, decode_error("the batch " + id), [&](const json& from) -> result<batch_header> {
+        value, decode_error("cannot decode batch " + id), [&](const json& from) -> result<batch_header> {
             batch_header header;
             header.id = id;
             header.host = from.at("host").get<std::string>();
@@ -156,12 +156,13 @@
 result<result_segment> segment_from_json(const std::string& name, const json& value)
 {
     return decoded<result_segment>(
-        value, decode_error("the segment " + name), [&](const json& from) -> result<result_segment> {
+        value, decode_error("cannot decode result segment " + name),
+        [&](const json& from) -> result<result_segment> {
             result_segment segment;
             const auto parsed = std::from_chars(name.data(), name.data() + name.size(), segment.first);
             if (parsed.ec != std::errc{}) {
                 return error{error_code::invalid_argument, run_state::not_run,
-                             "expected a position, found: " + name};
+                             "segment name is not a position: " + name};
             }
             segment.writer = from.at("writer").get<std::string>();
             for (const auto& entry : from.at("results")) {
@@ -180,7 +181,7 @@
 
 std::vector<json> to_parts(const std::vector<batch_item>& items, std::size_t max_bytes)
 {
-    constexpr std::size_t other_bytes = 400; // ids, names and punctuation of an item
+    constexpr std::size_t other_bytes = 400; // ids, field names and JSON punctuation of an item
     std::vector<json> parts;
     std::size_t filled = max_bytes;
     for (const auto& item : items) {
@@ -203,7 +204,7 @@
 
 result<std::vector<batch_item>> items_from_json(const json& part)
 {
-    return decoded<std::vector<batch_item>>(part, decode_error("a batch's items"),
+    return decoded<std::vector<batch_item>>(part, decode_error("cannot decode the items of a batch"),
                                             [&](const json& from) -> result<std::vector<batch_item>> {
                                                 std::vector<batch_item> items;
                                                 for (const auto& entry : from.at("items")) {
@@ -220,7 +221,7 @@
     const auto [written, taken] = base64::decode(plain.data(), text.data(), text.size());
     const auto rest = text.substr(taken).find_first_not_of('=');
     if (rest != std::string_view::npos || text.size() % 4 != 0) {
-        return error{error_code::invalid_argument, run_state::not_run, "expected base64"};
+        return error{error_code::invalid_argument, run_state::not_run, "invalid base64"};
     }
     plain.resize(written);
     return plain;
--- a/src/gateway/batch.hpp
+++ b/src/gateway/batch.hpp
@@ -1,4 +1,4 @@
-/// A batch of generations for a trainer: what it holds, and how it is kept in the store.
+/// A trainer's batch of generation requests, and the store objects that hold it.
 #ifndef VANILLAGAUGE_GATEWAY_BATCH_HPP
 #define VANILLAGAUGE_GATEWAY_BATCH_HPP
 
@@ -17,7 +17,7 @@
 
 using wall_time = std::chrono::system_clock::time_point;
 
-/// The call that scores an item's text, made once the text is whole. It may be repeated.
+/// The call that scores an item's text, made once the text is complete. It may be sent more than once.
 struct scoring_call {
     std::string id;
     std::string host;
@@ -32,32 +32,32 @@
     std::string path;
     std::vector<net::http_field> fields;
     std::string body_base64;
-    std::string group;                     ///< items of a group share their prompt
-    std::uint64_t tokens = 0;              ///< of the prompt and the longest output
-    double length_hint = 0;                ///< the caller's guess of the output's tokens; 0: none
-    std::optional<scoring_call> scoring{}; ///< none: the text alone is the result
+    std::string group;                     ///< items of one group share a prompt
+    std::uint64_t tokens = 0;              ///< prompt plus maximum output
+    double length_hint = 0;                ///< the caller's estimate of the output tokens; 0: none
+    std::optional<scoring_call> scoring{}; ///< none: the item is not scored
 };
 
-/// What every gateway holds of every batch; the items stand in objects of their own.
+/// The part of a batch that every gateway keeps in memory; the items are stored as separate objects.
 struct batch_header {
     std::string id;
     std::string host;
     std::string route;
     std::string service;
     std::string model;
-    std::string owner_vm; ///< of the gateway that runs it while it lives
+    std::string owner_vm; ///< VM of the gateway that runs the batch while it is alive
     std::uint64_t owner_incarnation = 0;
-    std::uint64_t min_version = 0; ///< the oldest weights that may generate its tokens
+    std::uint64_t min_version = 0; ///< oldest weights that may generate its tokens
     std::uint64_t step = 0;
     std::size_t total = 0;
     std::size_t wanted_groups = 0;
-    std::size_t parts = 0; ///< objects that hold the items
+    std::size_t parts = 0; ///< number of objects that hold the items
     bool single_version = false;
     int attempts = 1;
     milliseconds max_age{0};
     milliseconds result_time{0};
     wall_time accepted{};
-    bool ended = false; ///< nobody waits for it any more; kept in the object's status
+    bool ended = false; ///< by its trainer; stored in the object's status
 };
 
 struct batch_submission {
@@ -71,33 +71,33 @@
     std::string id;
     item_state state = item_state::completed;
     std::string text;
-    std::vector<std::uint64_t> versions; ///< that made its events, ascending
-    std::string score{};                 ///< the scoring answer's authentication code; empty: not scored
+    std::vector<std::uint64_t> versions; ///< weights that generated its events, ascending
+    std::string score{};                 ///< authentication code of the scoring response; empty: not scored
 
     friend bool operator==(const item_result&, const item_result&) = default;
 };
 
-/// Results at consecutive positions, written once and never changed.
+/// Results at consecutive positions. Immutable once written.
 struct result_segment {
     std::size_t first = 0; ///< position of its first result
     std::string writer;
     std::vector<item_result> results;
 };
 
-/// Kinds and names of the objects.
+/// Kinds and names of the store objects.
 constexpr const char* batch_kind = "batches";
 constexpr const char* item_kind = "batch-items";
 std::string results_kind(const std::string& batch);
 std::string part_name(const std::string& batch, std::size_t part);
-/// Ordered as the positions are.
+/// Zero-padded, so that names sort by position.
 std::string segment_name(std::size_t first);
 
 nlohmann::json to_json(const batch_header& header);
 nlohmann::json to_json(const result_segment& segment);
-/// Parts of at most `max_bytes` each, but for an item that is larger alone.
+/// Splits the items into parts of at most `max_bytes`; an item larger than that gets a part of its own.
 std::vector<nlohmann::json> to_parts(const std::vector<batch_item>& items, std::size_t max_bytes);
 
-/// An entry that is not what this project writes is an `invalid_argument`.
+/// `invalid_argument` if the object cannot be decoded.
 result<batch_header> header_from_json(const std::string& id, const nlohmann::json& value,
                                       const nlohmann::json& status);
 result<result_segment> segment_from_json(const std::string& name, const nlohmann::json& value);
--- a/src/gateway/batch_progress.cpp
+++ b/src/gateway/batch_progress.cpp
@@ -16,8 +16,8 @@
     header_.total = items_.size();
     order_.resize(items_.size());
     std::iota(order_.begin(), order_.end(), std::size_t{0});
-    // Load pattern: long among short. A long item that starts last ends last and holds its whole group back,
-    // while the replicas that finished the short ones stand idle.
+    // A long item that starts last ends last and delays its whole group while the replicas that finished the
+    // short ones are idle.
     std::stable_sort(order_.begin(), order_.end(), [this](std::size_t left, std::size_t right) {
         return items_[left].item.length_hint > items_[right].item.length_hint;
     });
@@ -29,8 +29,8 @@
     open -= open > 0 ? 1 : 0;
 }
 
-// Positions are facts once their segment stands in the store. A result of this owner for an item that another
-// owner listed first is dropped: the trainer has read the other one, or will.
+// A stored segment is final. If another owner published an item first, this owner's result for it is dropped,
+// since the trainer reads the published one.
 void batch_progress::apply_segment(const result_segment& segment)
 {
     if (segment.first != published_) {
@@ -60,7 +60,7 @@
 run_rejection batch_progress::begin_run(std::size_t index, std::uint64_t version)
 {
     auto& entry = items_[index];
-    // Another owner may have listed the item while this run was being opened; a position never changes.
+    // Another owner may have published the item while this run's request was under way.
     if (entry.state != work_state::running) {
         return run_rejection::not_running;
     }
@@ -109,7 +109,7 @@
     }
 }
 
-// Texts made under weights that are too old for the batch are of no use.
+// Ignores texts that weights too old for the batch have generated.
 void batch_progress::restore_text(const saved_text& text)
 {
     const auto found = index_by_id_.find(text.id);
@@ -221,7 +221,7 @@
     if (writing_ || finished_ == 0) {
         return std::nullopt;
     }
-    // A segment must fit into one object of the store, and a reader's answer.
+    // A segment must fit into one store object and one response to a reader.
     constexpr std::size_t max_bytes = 600U << 10U;
     result_segment segment;
     segment.first = published_;
--- a/src/gateway/batch_progress.hpp
+++ b/src/gateway/batch_progress.hpp
@@ -1,4 +1,4 @@
-/// What the owner of a batch knows of its items, and which results it lists next. No network, no clock.
+/// State of a batch's items at its owner, and the results to publish next. No network, no clock.
 #ifndef VANILLAGAUGE_GATEWAY_BATCH_PROGRESS_HPP
 #define VANILLAGAUGE_GATEWAY_BATCH_PROGRESS_HPP
 
@@ -16,88 +16,85 @@
 enum class work_state {
     waiting,
     running,
-    scoring, ///< its text is whole, its score is not there yet
+    scoring, ///< text complete, score pending
     finished,
     published,
 };
 
-/// The text of one item as far as it has been generated.
+/// State of one item and the text generated so far.
 struct item_progress {
     batch_item item;
     work_state state = work_state::waiting;
-    int runs = 0;            ///< sendings to a replica
-    int failures = 0;        ///< answers that count as failed attempts
-    time_point not_before{}; ///< waits until then
-    std::string avoid{};     ///< the replica that it left last
+    int runs = 0;            ///< times it was sent to a replica
+    int failures = 0;        ///< responses that count as failed attempts
+    time_point not_before{}; ///< earliest time of the next run
+    std::string avoid{};     ///< instance of the replica that ran it last
     std::string text{};
     std::size_t events = 0;
     std::optional<std::uint64_t> last_event{};
     std::set<std::uint64_t> versions{};
-    std::uint64_t current_version = 0; ///< of the run in flight
-    item_result result{};              ///< once finished
+    std::uint64_t current_version = 0; ///< weights of the current run
+    item_result result{};              ///< set once finished
 };
 
-/// An item's text as far as it was made, for an owner that goes on with it.
+/// The text generated so far for an item, stored so that the next owner can continue it.
 struct saved_text {
     std::string id;
     std::string text;
     std::size_t events = 0;
     std::optional<std::uint64_t> last_event{};
     std::set<std::uint64_t> versions{};
-    bool complete = false; ///< nothing is missing but the score
+    bool complete = false; ///< only the score may be missing
 
     friend bool operator==(const saved_text&, const saved_text&) = default;
 };
 
-/// Why a run's answer does not continue the text that is there.
+/// Why a run's response cannot extend the text generated so far.
 enum class run_rejection { none, old_weights, mixed_weights, wrong_event, not_running };
 
 class batch_progress {
 public:
     batch_progress(batch_header header, std::vector<batch_item> items);
 
-    // Commands.
-    /// What the log holds at the next position, whoever wrote it. Items listed by others are finished.
+    /// Applies a segment stored at the next position, by whichever owner. Its items are finished.
     void apply_segment(const result_segment& segment);
-    /// A waiting item is given to a replica.
+    /// Marks a waiting item as running.
     void start(std::size_t index);
-    /// A run began under this version of the weights, behind what is there already.
+    /// The run's response has started, with this weights version; it extends the text generated so far.
     run_rejection begin_run(std::size_t index, std::uint64_t version);
     run_rejection append_event(std::size_t index, const net::stream_event& event,
                                std::optional<std::uint64_t> new_version);
-    /// The text that an earlier owner made of an item that has none here.
+    /// Restores text saved by an earlier owner, unless the item already has text here.
     void restore_text(const saved_text& text);
-    /// Drops the text, which a run cannot continue.
+    /// Drops the text when no run can continue it.
     void discard_text(std::size_t index);
-    /// The run is over and its text is whole. The item is finished, or waits for its score.
+    /// The run has ended with a complete text. The item is finished, or waits for its score.
     void complete(std::size_t index);
-    /// The score of an item whose text is whole.
+    /// Finishes an item whose text is complete.
     void set_score(std::size_t index, const std::string& score);
-    /// The item can never be done, or may be given up.
+    /// The item cannot be completed, or has expired.
     void terminate(std::size_t index);
-    /// The run ended early; the item goes on, or begins, elsewhere.
+    /// The run ended early; the item waits for another replica, which continues or restarts it.
     void release(std::size_t index, time_point not_before, const std::string& avoid);
-    /// An answer that counts as a failed attempt; true where it was the last that the route allows.
+    /// Counts a failed attempt; true if it was the last that the route allows.
     bool fail_attempt(std::size_t index);
-    /// The segment to write next: results that are finished and not listed. None while one is being written.
+    /// The next segment to write: finished, unpublished results. None while another is being written.
     std::optional<result_segment> next_segment(const std::string& writer);
     void finish_write() { writing_ = false; }
 
-    // Queries.
     const batch_header& header() const { return header_; }
     std::vector<item_progress>& items() { return items_; }
     const std::vector<item_progress>& items() const { return items_; }
     std::size_t published() const { return published_; }
     bool all_published() const { return published_ >= header_.total; }
     std::size_t unpublished_results() const { return finished_; }
-    /// Finished results that make a group whole, so that the trainer should hear of them at once.
+    /// Whether unpublished results complete a group, so that they should be published without delay.
     bool has_complete_group() const;
-    /// Items of the same group that are neither finished nor listed, this one with them.
+    /// Items of the same group, including this one, that are neither finished nor published.
     std::size_t open_in_group(std::size_t index) const;
-    /// What was made of an item that is not listed; none where nothing was.
+    /// The text of an unpublished item; none if it has no text.
     std::optional<saved_text> text_to_save(std::size_t index) const;
-    /// Waiting items in the order in which they are to run: carried-over groups stand first, the longest of a
-    /// group's items before the shorter ones.
+    /// All items in the order in which they should run: longest expected output first.
     const std::vector<std::size_t>& order() const { return order_; }
 
 private:
@@ -105,8 +102,7 @@
     std::vector<item_progress> items_;
     std::vector<std::size_t> order_;
     std::map<std::string, std::size_t> index_by_id_;
-    std::map<std::string, std::size_t>
-        open_in_group_; ///< items of a group that are neither finished nor listed
+    std::map<std::string, std::size_t> open_in_group_; ///< items that are neither finished nor published
     std::size_t published_ = 0;
     std::size_t finished_ = 0;
     bool writing_ = false;
--- a/src/gateway/batch_runner.cpp
+++ b/src/gateway/batch_runner.cpp
@@ -9,22 +9,21 @@
 namespace vanillagauge::gateway {
 namespace {
 
-/// How often a batch looks at what is late, silent or to be listed.
+/// Interval of the checks for expired items, slow runs and results to publish.
 constexpr milliseconds poll_interval{50};
 
-/// Between two writes of results. Trainers read about twice a second; a write costs a call.
+/// Minimum interval between two writes of results. Trainers read about twice a second.
 constexpr milliseconds publish_interval{400};
-/// A result whose group is not whole waits this long for others to be listed with it.
+/// A result of an incomplete group waits this long for others to be published with it.
 constexpr milliseconds publish_delay{600};
 
-/// A gateway that has just started knows nobody else yet and would take every batch for its own. After a loss
-/// of power of the whole fleet all fronts would run each open batch, and the steps behind them would come
-/// late. Members find each other within this time.
+/// Members discover each other within this time. A gateway that has just started knows no others and would
+/// claim every batch: after a restart of the whole fleet, each gateway would run all of them.
 constexpr milliseconds discovery_time{1500};
 
 constexpr milliseconds store_retry_delay{300};
 
-/// A run's work that is lost with its owner at most, but for the time of the write.
+/// Bounds the work lost when an owner fails, apart from the duration of the write.
 constexpr milliseconds text_save_interval{1000};
 
 } // namespace
@@ -48,8 +47,8 @@
     return found == headers_.end() ? nullptr : &found->second;
 }
 
-// The gateway that accepted a batch runs it. When that process is gone, one of the others does, the same by
-// every view that agrees on the members. Two that run it waste work and cannot list an item twice.
+// The gateway that accepted a batch runs it. If that process has failed, the members choose its successor by
+// rank, the same one wherever their views agree. Two owners waste work but cannot publish an item twice.
 bool batch_runner::owned_here(const batch_header& header) const
 {
     if (fleet_.lives(header.owner_vm, header.owner_incarnation)) {
@@ -70,7 +69,7 @@
         cached_items_.erase(header.id);
         finished_.erase(header.id);
         if (found != active_.end() && found->second) {
-            end(found->second, "ended by its trainer");
+            end(found->second, "ended by the trainer");
         }
         return;
     }
@@ -82,9 +81,8 @@
     }
 }
 
-// Failure: the store is away for everybody when a step is submitted. Waited for, the step begins seconds late
-// and its trainer never makes them up. What it costs to be wrong is the engines' work: nothing is listed, and
-// nobody is told that the batch stands, before the store has it.
+// Guards against a store outage that delays a step by seconds, which its trainer cannot make up. If the batch
+// is never stored, only engine time is lost: nothing is published or accepted before it is stored.
 void batch_runner::run_speculative(const batch_header& header, std::vector<batch_item> items)
 {
     if (!starts_batches_ || active_.contains(header.id) || finished_.contains(header.id)) {
@@ -106,7 +104,7 @@
         batch->changed.notify();
         return;
     }
-    end(batch, "another gateway runs it");
+    end(batch, "owned by another gateway");
 }
 
 void batch_runner::drop_speculative(const std::string& batch)
@@ -114,7 +112,7 @@
     const auto found = active_.find(batch);
     if (found != active_.end() && found->second && !found->second->stored) {
         const auto held = found->second;
-        end(held, "it was not accepted");
+        end(held, "not accepted by the store");
     }
 }
 
@@ -165,7 +163,7 @@
     co_return true;
 }
 
-// What an earlier owner kept of the texts. Without it the items are made from their start.
+// Restores the texts saved by an earlier owner. Items without saved text start over.
 net::task<void> batch_runner::load_texts(batch_run_ref batch)
 {
     const auto saved = co_await batch->texts.load();
@@ -187,9 +185,8 @@
     }
 }
 
-// Failure: the owner dies while long items run, and its successor makes each of them from its start: a step
-// that was nearly whole takes its whole time again and its trainer falls behind for good. What the owner has
-// made is kept in the store, so the successor loses about the time between two writes.
+// Guards against an owner that fails while long items run: without saved texts its successor would generate
+// each of them again from the start. With them it loses about the time between two writes.
 void batch_runner::save_texts(const batch_run_ref& batch)
 {
     const auto now = steady::now();
@@ -277,7 +274,7 @@
         }
         if (progress.all_published()) {
             finished_.insert(progress.header().id);
-            end(batch, "all items are listed");
+            end(batch, "all results published");
             break;
         }
         co_await batch->changed.wait_until(now + poll_interval);
@@ -312,7 +309,7 @@
     }
 }
 
-// An item older than its route allows may be given up; the trainer hears of it rather than wait for ever.
+// Terminates items older than the route allows, so that the trainer does not wait for them for ever.
 void batch_runner::expire_items(batch_run& batch)
 {
     if (batch.progress.header().max_age.count() <= 0 || std::chrono::system_clock::now() < batch.expires_at) {
@@ -347,7 +344,7 @@
             progress.apply_segment(*segment);
         }
         else if (failure(written).code == error_code::conflict) {
-            // Another owner, or a write of this one that was thought lost, has filled the position.
+            // Another owner, or an earlier write of this one that timed out, has filled the position.
             const auto existing = nlohmann::json::parse(failure(written).current, nullptr, false);
             const auto parsed = segment_from_json(name, existing);
             if (ok(parsed)) {
@@ -357,8 +354,8 @@
                     {{"batch", progress.header().id}, {"first", static_cast<std::int64_t>(segment->first)}});
             }
             else {
-                // No gateway's entry. The batch can't go on while it stands; without the pause one such batch
-                // would take all calls that the store gives this gateway.
+                // The batch cannot continue while an undecodable entry holds the position; without the delay
+                // its retries would use up this gateway's calls to the store.
                 observe::log(observe::log_level::error, "segment_unreadable",
                              {{"batch", progress.header().id}, {"why", describe(failure(parsed))}});
                 co_await net::sleep_for(loop_, store_retry_delay);
--- a/src/gateway/batch_runner.hpp
+++ b/src/gateway/batch_runner.hpp
@@ -1,4 +1,4 @@
-/// Runs the batches that are this gateway's to run: items to engines, results to the store.
+/// Runs the batches owned by this gateway: sends items to engines and results to the store.
 #ifndef VANILLAGAUGE_GATEWAY_BATCH_RUNNER_HPP
 #define VANILLAGAUGE_GATEWAY_BATCH_RUNNER_HPP
 
@@ -26,26 +26,24 @@
                  const target_registry& targets, const target_protocol& protocol, item_scorer& scorer,
                  observe::metrics& counts);
 
-    // Commands.
-    /// Keeps the items of a batch that is being accepted here, so that they need not be read back.
+    /// Caches the items of a batch that is being accepted here, so that they need not be read back.
     void cache_items(const std::string& batch, std::vector<batch_item> items);
-    /// What the store now says of a batch.
+    /// The batch's header in the store is new or has changed.
     void update_header(const batch_header& header);
-    /// Runs a batch that the store may not have yet; results are listed once `update_header` brings it as
-    /// this gateway's.
+    /// Runs a batch that may not be stored yet; results are published once `update_header` confirms that this
+    /// gateway owns it.
     void run_speculative(const batch_header& header, std::vector<batch_item> items);
-    /// Ends what `run_speculative` began and the store never took.
+    /// Ends a batch started by `run_speculative` that was never stored.
     void drop_speculative(const std::string& batch);
-    /// The members of the fleet changed: batches of those that are gone may be this gateway's.
+    /// Membership may have changed: starts batches of failed owners that now belong to this gateway.
     void review_ownership();
-    /// This gateway has met all that are registered, so its view of the fleet may decide.
+    /// This gateway has discovered all registered members, so its view of the fleet can decide on ownership.
     void mark_view_complete() { view_complete_ = true; }
-    /// Replicas came, went or changed.
+    /// Replicas were added, removed or changed.
     void notify();
-    /// Starts no batch any more; those that run go on.
+    /// Starts no new batches; running ones continue.
     void drain() { starts_batches_ = false; }
 
-    // Queries.
     const batch_header* find(const std::string& batch) const;
     std::size_t running() const { return active_.size(); }
     bool starts_batches() const { return starts_batches_; }
@@ -66,7 +64,7 @@
     std::map<std::string, batch_header> headers_;
     std::map<std::string, std::vector<batch_item>> cached_items_;
     std::map<std::string, batch_run_ref> active_;
-    std::set<std::string> finished_; ///< all is listed, and their trainers have not ended them yet
+    std::set<std::string> finished_; ///< all results published, not yet ended by their trainers
     time_point started_;
     bool starts_batches_ = true;
     bool view_complete_ = false;
--- a/src/gateway/batch_runner_items.cpp
+++ b/src/gateway/batch_runner_items.cpp
@@ -1,4 +1,4 @@
-// The runs of items at replicas.
+// Runs items at replicas.
 #include "gateway/internal/batch_run.hpp"
 #include "observe/log.hpp"
 #include "observe/trace.hpp"
@@ -8,19 +8,18 @@
 namespace vanillagauge::gateway {
 namespace {
 
-/// A full engine refuses until a request of its ends, which takes some hundred milliseconds.
+/// An engine at its capacity refuses until a request ends, typically within some hundred milliseconds.
 constexpr milliseconds overload_backoff{100};
-/// A replica whose connection failed: crashed ones are back after some seconds.
+/// After a failed connection; a crashed replica takes some seconds to return.
 constexpr milliseconds failure_backoff{500};
 
-/// Many times what an engine takes for an event, or a load of weights holds a run up.
+/// Many times the interval between events, and longer than loading weights suspends a run.
 constexpr milliseconds event_timeout{1000};
-/// The first event may wait in the engine's line.
+/// The first event may wait in the engine's queue.
 constexpr milliseconds first_event_timeout{2000};
 
 constexpr milliseconds connect_timeout{1000};
 
-/// Before a scoring call is made again.
 constexpr milliseconds scoring_retry_delay{100};
 
 net::http_request item_request(const batch_header& header, const batch_item& item)
@@ -32,7 +31,7 @@
     for (const auto& field : item.fields) {
         request.fields.add(field.name, field.value);
     }
-    // The body was checked when the batch was accepted.
+    // The encoding was checked when the batch was accepted.
     auto body = decode_base64(item.body_base64);
     request.body = ok(body) ? std::move(value(body)) : std::string{};
     return request;
@@ -107,8 +106,8 @@
                   {"newest_version", static_cast<std::int64_t>(entry.current_version)}});
 }
 
-// The calls of a group that waits for nothing else go first: a trainer takes whole groups. A call that fails
-// for good ends its item; the trainer hears of it at once instead of waiting for a score that never comes.
+// Calls that complete a group get the higher priority, since a trainer consumes whole groups. A permanent
+// failure terminates the item, so that the trainer does not wait for its score.
 net::task<void> batch_runner::score_item(batch_run_ref batch, std::size_t index)
 {
     auto& progress = batch->progress;
@@ -135,16 +134,16 @@
             progress.terminate(index);
         }
         const auto took = std::chrono::duration_cast<milliseconds>(steady::now() - began);
-        observe::log(
-            scored ? observe::log_level::info : observe::log_level::warning, "item_scored",
-            {{"request", entry.item.id},
-             {"batch", progress.header().id},
-             {"scoring_call", entry.item.scoring->id},
-             {"calls", std::int64_t{calls}},
-             {"internal_errors", std::int64_t{internal_errors}},
-             {"took_ms", std::int64_t{took.count()}},
-             {"outcome", scored ? std::string("scored")
-                                : (permanent ? "given up: " : "") + describe(failure(outcome.score))}});
+        observe::log(scored ? observe::log_level::info : observe::log_level::warning, "item_scored",
+                     {{"request", entry.item.id},
+                      {"batch", progress.header().id},
+                      {"scoring_call", entry.item.scoring->id},
+                      {"calls", std::int64_t{calls}},
+                      {"internal_errors", std::int64_t{internal_errors}},
+                      {"took_ms", std::int64_t{took.count()}},
+                      {"outcome", scored ? std::string("scored")
+                                         : (permanent ? "failed permanently: " : "") +
+                                               describe(failure(outcome.score))}});
         if (!scored && !permanent) {
             co_await net::sleep_for(loop_, scoring_retry_delay);
         }
@@ -152,8 +151,8 @@
     batch->changed.notify();
 }
 
-// The text of an item may be made by several runs, each asked to go on behind the event that stands here.
-// What does not continue it is dropped with its connection.
+// Several runs may generate one text, each requested to resume after the last event received here. A response
+// that does not continue the text is dropped together with its connection.
 net::task<void> batch_runner::read_answer(batch_run_ref batch, std::size_t index, target_ref engine,
                                           std::shared_ptr<item_run> run)
 {
@@ -212,7 +211,7 @@
     progress.release(index, {}, instance_id);
 }
 
-// True where the text is whole.
+// True if the text is complete.
 net::task<bool> batch_runner::read_events(batch_run_ref batch, std::size_t index,
                                           std::shared_ptr<item_run> run)
 {
--- a/src/gateway/batch_runner_placement.cpp
+++ b/src/gateway/batch_runner_placement.cpp
@@ -1,4 +1,4 @@
-// Which items start now, where, and which runs move.
+// Chooses the items to start, their engines, and the runs to move to faster engines.
 #include "gateway/internal/batch_run.hpp"
 #include "policy/engine_speed.hpp"
 #include "policy/step_placement.hpp"
@@ -8,8 +8,8 @@
 namespace vanillagauge::gateway {
 namespace {
 
-/// A run this old is moved from a slow engine, once others have room: what it has is kept, and the prompt is
-/// read again in a few milliseconds. Shorter ones are over soon.
+/// Minimum age of a run that is moved off a slow engine. A move keeps the text and costs a few milliseconds
+/// to process the prompt again; younger runs are not worth it.
 constexpr milliseconds min_run_time{600};
 
 double slow_gap_of(const std::vector<target_ref>& engines)
@@ -44,7 +44,7 @@
     return false;
 }
 
-// The batch that is due first goes first: its trainer stands idle until it is whole.
+// Earliest deadline first: a trainer is idle until its batch is complete.
 void batch_runner::place_items()
 {
     std::vector<batch_run_ref> batches;
@@ -78,7 +78,7 @@
         view.usable = now >= engine->back_off_until;
         views.push_back(std::move(view));
     }
-    // An engine is hardly slower with many requests than with few, so the fast ones are filled first.
+    // Load hardly slows an engine down, so the fast engines are filled first.
     auto fast = views;
     const auto slow = slow_gap_of(engines);
     for (std::size_t index = 0; index < engines.size(); ++index) {
@@ -113,9 +113,8 @@
     return true;
 }
 
-// Load pattern: a few engines several times slower than the rest, and a step that waits for its last items.
-// Without moving them, a long item on a slow engine takes longer than the whole step may. Only while nothing
-// waits for a place: then the places of faster engines are free.
+// Guards against a long item on an engine several times slower than the rest, which could take longer than
+// its step may. Moves runs only while no item is waiting, so that faster engines have free capacity.
 void batch_runner::move_stragglers(batch_run& batch)
 {
     if (batch.item_runs.empty() || has_waiting_items()) {
--- a/src/gateway/batch_service.cpp
+++ b/src/gateway/batch_service.cpp
@@ -11,22 +11,21 @@
 
 namespace {
 
-/// Bytes of results in one answer.
+/// Limits the results in one response.
 constexpr std::size_t max_page_bytes = 900U << 10U;
 
-/// Between two looks for the batch in the feed.
 constexpr milliseconds poll_interval{50};
 
-/// When to bring a batch again that the store could not take.
+/// Retry delay sent to a client whose batch could not be stored.
 constexpr milliseconds store_retry_after{500};
 
-/// Bodies are asked for now and then, of few batches; each item list takes some 200 KB.
+/// Bodies are requested rarely and of few batches; an item list takes about 200 KB.
 constexpr std::size_t max_cached = 1;
 
-/// Logs whose segment ends are known here, a few dozen numbers each.
+/// Batches with known segment ends, a few dozen numbers each.
 constexpr std::size_t max_known_results = 128;
 
-/// A shorter wait for results is not worth a call.
+/// A shorter wait for results is not worth a call to the store.
 constexpr milliseconds min_wait{50};
 
 } // namespace
@@ -37,8 +36,8 @@
 {
 }
 
-// A creation without an answer may have been done, or may be done later; made again under the same name it
-// settles what stands. `not_run` errors say that nothing was written by any of the tries.
+// A creation without a response may have taken effect, or may do so later; repeating it under the same name
+// shows which. `not_run` errors guarantee that none of the tries wrote anything.
 net::task_of<stored_object> batch_service::create_with_retry(std::string kind, std::string name, json value,
                                                              time_point until)
 {
@@ -58,9 +57,9 @@
     }
 }
 
-// The batch stands once its header does, and is created once: whoever brings it again finds it. Its items are
-// stored before, so a gateway that reads the header can run it. An acceptance without an answer may have
-// taken effect, so it is no refusal; items without a header are nothing.
+// A batch exists once its header does, which is created only once; resubmission finds it. The items are
+// stored first, so that a gateway that reads the header can run it; items without a header are ignored. A
+// header write without a response may have taken effect, so it is no refusal.
 net::task_of<done> batch_service::submit(batch_submission submission)
 {
     if (headers_.objects().contains(submission.header.id)) {
@@ -75,8 +74,7 @@
     const auto id = header.id;
     net::start(loop_, speculate_when_slow(current));
     net::start(loop_, resolve_attempt(current));
-    // A call that hangs at a store that is back by now must not keep the trainer from hearing that the batch
-    // stands, once the feed shows it.
+    // The feed may show the batch while the call that stored it still hangs; the trainer need not wait.
     while (!current->outcome && !headers_.objects().contains(id)) {
         co_await current->changed.wait_until(steady::now() + poll_interval);
     }
@@ -118,7 +116,7 @@
         }
     }
     current->storing_header = true;
-    // A gateway that stops starts no batch, and the others would wait until it has left.
+    // A draining gateway starts no batch, and its peers would not take the batch over until it has left.
     const auto successor =
         runner_.starts_batches() || runner_.runs(header.id) ? std::nullopt : other_owner(header.id);
     if (successor) {
@@ -176,8 +174,8 @@
     return known != known_results_.end() && known->second.end == first ? known->second.as_of : 0;
 }
 
-// Segments are named by their first position. A reader goes on where a segment ended, so the segments named
-// behind the position before it are the ones it wants; from any other position all are read.
+// Segments are named by their first position. A reader that resumes at a segment's end needs only the
+// segments named after the preceding position; from any other position all are read.
 net::task_of<segment_listing> batch_service::segments_from(std::string batch, std::size_t first)
 {
     const auto known = known_results_.find(batch);
@@ -208,7 +206,7 @@
     }
 }
 
-/// An unreadable one among them fails.
+/// Fails if any segment cannot be decoded.
 result<std::vector<result_segment>> segments_of(const object_changes& changes)
 {
     std::vector<result_segment> segments;
@@ -260,8 +258,8 @@
     if (first >= page.total) {
         co_return page;
     }
-    // A reader that goes on where the last answer ended needs no listing: a watch from that answer's revision
-    // tells what came since, for one call of the store instead of two.
+    // A reader that resumes where the last response ended needs no listing: a watch from that response's
+    // revision yields the newer results, with one call to the store instead of two.
     const auto since = empty_as_of(batch, first);
     bool received = false;
     if (since > 0 && wait > min_wait) {
@@ -316,7 +314,7 @@
             co_return decode_base64(entry.body_base64);
         }
     }
-    co_return error{error_code::not_found, run_state::not_run, "the batch has no such item"};
+    co_return error{error_code::not_found, run_state::not_run, "no such item in the batch"};
 }
 
 net::task_of<done> batch_service::end(std::string batch)
--- a/src/gateway/batch_service.hpp
+++ b/src/gateway/batch_service.hpp
@@ -1,4 +1,4 @@
-/// Callers' side of batches, the same at every gateway: accept, read, end.
+/// Accepts, reads and ends batches for callers, at any gateway.
 #ifndef VANILLAGAUGE_GATEWAY_BATCH_SERVICE_HPP
 #define VANILLAGAUGE_GATEWAY_BATCH_SERVICE_HPP
 
@@ -24,7 +24,7 @@
     std::vector<item_result> results;
 };
 
-/// Where peers bring batches that the store does not take.
+/// Path of peers' requests to run a batch speculatively.
 constexpr const char* speculative_path = "/ahead";
 
 class batch_service {
@@ -33,18 +33,18 @@
     batch_service(net::loop& loop, peer_relay& store, feed& headers, batch_runner& runner,
                   const fleet_view& fleet);
 
-    /// Done: the fleet keeps the whole batch from now on, or has kept it before. `not_run` errors promise
-    /// that no part of it runs; `in_doubt` ones promise nothing.
+    /// Success means that the complete batch is stored, now or by an earlier submission. `not_run` errors
+    /// guarantee that no part of it runs; `in_doubt` errors guarantee nothing.
     net::task_of<done> submit(batch_submission submission);
-    /// A peer brings a batch that the store does not take at the moment, for this gateway to run, or asks
-    /// whether it runs one.
+    /// Handles a peer's request to run a batch that the store does not accept at the moment, or its query
+    /// whether this gateway runs one.
     net::http_response serve_speculative(const net::http_request& request);
-    /// Waits at most `wait` for a result. `not_found` only where the store says so now; `unavailable` where a
-    /// result that another gateway listed may be missing here.
+    /// Waits at most `wait` for a result. `not_found` only if the store confirms it now; `unavailable` if a
+    /// result published by another gateway may be missing here.
     net::task_of<result_page> read(std::string batch, std::size_t first, milliseconds wait);
     /// The decoded body of an item.
     net::task_of<std::string> item_body(std::string batch, std::string item);
-    /// Nobody waits for the batch any more.
+    /// Ends the batch on behalf of its trainer; running items are cancelled.
     net::task_of<done> end(std::string batch);
 
 private:
@@ -57,10 +57,10 @@
     feed& headers_;
     batch_runner& runner_;
     const fleet_view& fleet_;
-    std::list<cached_items> cache_; ///< the newest first
+    std::list<cached_items> cache_; ///< newest first
 
-    struct attempt;                                       ///< to store one submission
-    std::map<std::string, time_point> speculative_until_; ///< batches that run here before the store has them
+    struct attempt;                                       ///< an attempt to store a submission
+    std::map<std::string, time_point> speculative_until_; ///< speculative batches running here
 
     net::task<void> resolve_attempt(std::shared_ptr<attempt> current);
     net::task_of<done> store_batch(std::shared_ptr<attempt> current, time_point until);
@@ -73,20 +73,20 @@
     net::task_of<stored_object> create_with_retry(std::string kind, std::string name, nlohmann::json value,
                                                   time_point until);
     net::task_of<batch_header> find(std::string batch);
-    /// What earlier reads have shown of a batch's results.
+    /// What is known of a batch's stored results from earlier reads.
     struct known_results {
-        std::set<std::size_t> segment_ends; ///< positions behind a segment
-        std::size_t end = 0;                ///< no result stood from here on
-        std::uint64_t as_of = 0;            ///< at this revision of the store; 0: never seen
+        std::set<std::size_t> segment_ends; ///< positions after a segment
+        std::size_t end = 0;                ///< no result from this position on
+        std::uint64_t as_of = 0;            ///< store revision of `end`; 0: never read
     };
     std::map<std::string, known_results> known_results_;
 
     void record_segments(const std::string& batch, const std::vector<result_segment>& segments,
                          std::uint64_t as_of);
-    /// The revision at which nothing stood from the position on; 0: not known.
+    /// The store revision at which there was no result from the position on; 0: not known.
     std::uint64_t empty_as_of(const std::string& batch, std::size_t first) const;
     net::task_of<segment_listing> segments_from(std::string batch, std::size_t first);
-    /// Waits for results behind the revision and adds them; false: what there is now is not known.
+    /// Waits for results newer than the revision and adds them; false: the read failed.
     net::task<bool> add_new_results(result_page& page, std::string batch, std::uint64_t since,
                                     time_point until);
     net::task_of<std::vector<batch_item>> items_of(batch_header header);
--- a/src/gateway/batch_service_speculative.cpp
+++ b/src/gateway/batch_service_speculative.cpp
@@ -1,4 +1,4 @@
-// Batches that run before the store has them.
+// Speculative batches: they run before they are stored.
 #include "gateway/foreign_json.hpp"
 #include "gateway/internal/batch_attempt.hpp"
 #include "observe/log.hpp"
@@ -12,19 +12,20 @@
 
 namespace {
 
-/// Until a batch that the store has not taken is run all the same.
+/// A batch that is not stored within this time is run speculatively.
 constexpr milliseconds speculation_delay{500};
-/// Such a batch is dropped so long after its trainer brought it last.
+/// A speculative batch is dropped this long after its trainer last submitted it.
 constexpr milliseconds speculation_timeout{4000};
 constexpr milliseconds speculation_call_timeout{1500};
 constexpr milliseconds query_timeout{500};
 
-/// A slow store still answers within it.
+/// Long enough for a slow store.
 constexpr milliseconds store_check_timeout{450};
 
 result<batch_submission> submission_from_json(const json& from)
 {
-    const error unreadable{error_code::invalid_argument, run_state::not_run, "a batch to run ahead"};
+    const error unreadable{error_code::invalid_argument, run_state::not_run,
+                           "cannot decode a speculative batch"};
     return decoded<batch_submission>(from, unreadable, [](const json& text) -> result<batch_submission> {
         auto header = header_from_json(text.at("id").get<std::string>(), text.at("header"), json());
         if (!ok(header)) {
@@ -45,7 +46,7 @@
 
 } // namespace
 
-// A store that answers takes a batch within a fraction of this time.
+// A store that responds accepts a batch within a fraction of the delay.
 net::task<void> batch_service::speculate_when_slow(std::shared_ptr<attempt> current)
 {
     co_await net::sleep_for(loop_, speculation_delay);
@@ -57,7 +58,7 @@
     co_await send_speculative(current);
 }
 
-// None where it is this gateway.
+// None if it is this gateway.
 std::optional<gateway_peer> batch_service::other_owner(const std::string& batch) const
 {
     const auto ranked = fleet_.owners_of(batch);
@@ -69,8 +70,8 @@
     return std::nullopt;
 }
 
-// A refusal promises that nothing of the batch runs, and an earlier attempt of its trainer may have come to
-// another gateway. One that does not answer may be running it.
+// A refusal guarantees that no part of the batch runs, but the trainer may have submitted it to another
+// gateway before. A peer that does not respond may be running it.
 net::task<bool> batch_service::runs_speculatively(std::string batch)
 {
     if (speculative_until_.contains(batch)) {
@@ -86,8 +87,8 @@
     co_return !ok(reply) || member_or_null(value(reply), "runs") != json(false);
 }
 
-// The trainer brings the batch to one gateway after the other meanwhile. They all choose the same one to run
-// it, so the engines do the work once.
+// The trainer may submit the batch to several gateways in turn. All choose the same one to run it, so that
+// the engines do the work once.
 net::task<void> batch_service::send_speculative(std::shared_ptr<attempt> current)
 {
     auto& header = current->submission.header;
@@ -108,7 +109,7 @@
     observe::log(ok(reply) ? observe::log_level::info : observe::log_level::warning, "batch_sent_ahead",
                  {{"batch", header.id},
                   {"to", owner->vm},
-                  {"outcome", ok(reply) ? std::string("taken") : describe(failure(reply))}});
+                  {"outcome", ok(reply) ? std::string("accepted") : describe(failure(reply))}});
 }
 
 net::http_response batch_service::serve_speculative(const net::http_request& request)
@@ -157,11 +158,11 @@
 {
     const auto id = submission.header.id;
     const auto current = std::make_shared<attempt>(loop_);
-    // Later its trainer has most probably given the batch up, and would not end it again.
+    // After this the trainer has most probably abandoned the batch, and would not end it if it were stored.
     const auto last = steady::now() + submission.header.result_time;
     current->submission = std::move(submission);
     while (!headers_.objects().contains(id) && steady::now() < std::min(last, speculative_until_[id])) {
-        // A short question finds the store's return sooner than a write that hangs.
+        // A short check detects a recovered store sooner than a hanging write.
         const auto back = co_await store_.check(batch_kind, store_check_timeout);
         if (!ok(back)) {
             co_await net::sleep_for(loop_, retry_interval);
@@ -173,7 +174,7 @@
         }
         co_await net::sleep_for(loop_, retry_interval);
     }
-    // Where the header stands, the feed brings it with its owner.
+    // If the header exists, the feed delivers it with its owner.
     while (!headers_.objects().contains(id) && steady::now() < speculative_until_[id]) {
         co_await net::sleep_for(loop_, retry_interval);
     }
--- a/src/gateway/batch_store.cpp
+++ b/src/gateway/batch_store.cpp
@@ -30,7 +30,7 @@
         if (!ok(page)) {
             co_return failure(page);
         }
-        // What changes while the pages are read shows in a watch from the first page's revision.
+        // A watch from the first page's revision shows the changes made while the pages are read.
         listing.as_of = listing.as_of == 0 ? value(page).as_of : listing.as_of;
         more = value(page).more;
         for (const auto& object : value(page).objects) {
--- a/src/gateway/batch_store.hpp
+++ b/src/gateway/batch_store.hpp
@@ -12,12 +12,12 @@
 
 struct segment_listing {
     std::vector<result_segment> segments;
-    std::uint64_t as_of = 0; ///< the store's revision; later segments show in a watch from here
+    std::uint64_t as_of = 0; ///< store revision; a watch from here shows later segments
 };
 
 net::task_of<std::vector<batch_item>> read_items(object_store& store, batch_header header);
 
-/// The segments whose names come after `after`, in the order of their positions.
+/// The segments with names after `after`, ordered by position.
 net::task_of<segment_listing> read_segments(object_store& store, std::string batch, std::string after);
 
 } // namespace vanillagauge::gateway
--- a/src/gateway/batch_texts.cpp
+++ b/src/gateway/batch_texts.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// Less than this is made again in the time that it takes to read it back.
+/// Fewer events are regenerated as fast as they are read back.
 constexpr std::size_t min_events = 10;
 
-/// Well below what the store takes as one value.
+/// Well below the store's limit for one value.
 constexpr std::size_t max_bytes = 600U << 10U;
 
 saved_text text_from_json(const json& from)
@@ -76,7 +76,8 @@
 
 result<std::vector<saved_text>> texts_from_json(const json& value)
 {
-    const error unreadable{error_code::invalid_argument, run_state::not_run, "the kept texts of a batch"};
+    const error unreadable{error_code::invalid_argument, run_state::not_run,
+                           "cannot decode the saved texts of a batch"};
     return decoded<std::vector<saved_text>>(value, unreadable,
                                             [](const json& from) -> result<std::vector<saved_text>> {
                                                 std::vector<saved_text> texts;
@@ -101,7 +102,7 @@
         revision_ = value(written).revision;
         co_return done{};
     }
-    // A write thought lost was done, or another owner keeps its own: the next one replaces what stands now.
+    // An earlier write took effect after all, or another owner saved its texts: the next save replaces them.
     if (failure(written).code == error_code::conflict) {
         const auto existing = co_await store_.read(text_kind, batch_);
         revision_ = ok(existing) ? value(existing).revision : 0;
--- a/src/gateway/internal/batch_attempt.hpp
+++ b/src/gateway/internal/batch_attempt.hpp
@@ -1,4 +1,4 @@
-/// One submission on its way to the store.
+/// An attempt to store one submission.
 #ifndef VANILLAGAUGE_GATEWAY_INTERNAL_BATCH_ATTEMPT_HPP
 #define VANILLAGAUGE_GATEWAY_INTERNAL_BATCH_ATTEMPT_HPP
 
@@ -13,16 +13,16 @@
     explicit attempt(net::loop& loop) : changed(loop) {}
 
     batch_submission submission;
-    bool storing_header = false; ///< the header is on its way to the store, with its owner
+    bool storing_header = false; ///< the header, with its owner, is being written
     std::optional<result<done>> outcome{};
     net::signal changed;
-    bool speculative = false; ///< a gateway was told to run the batch before the store has it
+    bool speculative = false; ///< the batch may run before it is stored
 };
 
-/// Below the store's limit of a megabyte a value, with room for what JSON adds.
+/// Leaves room for JSON overhead within the store's limit of 1 MB for one value.
 constexpr std::size_t max_part_bytes = 800U << 10U;
 
-/// How long an acceptance whose outcome is not known is tried to be settled. Its client waits a few seconds.
+/// Limits the retries of a write whose outcome is not known. The client waits a few seconds.
 constexpr milliseconds resolve_timeout{3000};
 constexpr milliseconds retry_interval{150};
 
--- a/src/gateway/internal/batch_run.hpp
+++ b/src/gateway/internal/batch_run.hpp
@@ -1,4 +1,4 @@
-/// One batch as its owner runs it.
+/// State of a batch while its owner runs it.
 #ifndef VANILLAGAUGE_GATEWAY_INTERNAL_BATCH_RUN_HPP
 #define VANILLAGAUGE_GATEWAY_INTERNAL_BATCH_RUN_HPP
 
@@ -7,7 +7,7 @@
 
 namespace vanillagauge::gateway {
 
-/// An item's run at a replica, for those that must end it early.
+/// One run of an item at an engine.
 struct batch_runner::item_run {
     std::shared_ptr<net::http_connection> connection;
     target_ref engine;
@@ -24,16 +24,16 @@
 
     batch_progress progress;
     net::signal changed;
-    std::map<std::size_t, std::shared_ptr<item_run>> item_runs;        ///< by the item's place
-    std::map<std::size_t, std::shared_ptr<call_ticket>> scoring_calls; ///< by the item's place
-    bool stored = true;                                                ///< the store has the batch
+    std::map<std::size_t, std::shared_ptr<item_run>> item_runs;        ///< by item index
+    std::map<std::size_t, std::shared_ptr<call_ticket>> scoring_calls; ///< by item index
+    bool stored = true; ///< false while the batch is speculative
     bool ended = false;
     bool publishing = false;
     time_point last_publish{};
     time_point first_unpublished{};
     text_store texts;
     bool saving_texts = false;
-    time_point texts_saved_at{}; ///< what was made since then would be lost with this gateway
+    time_point texts_saved_at{}; ///< newer text is lost if this gateway fails
     wall_time expires_at{};
 
     void cancel_work()
--- a/src/gateway/item_scorer.cpp
+++ b/src/gateway/item_scorer.cpp
@@ -3,10 +3,10 @@
 namespace vanillagauge::gateway {
 namespace {
 
-/// Then the route is looked up again, since it may lead to another service by now.
+/// Afterwards the route is looked up again, since it may have changed.
 constexpr milliseconds call_timeout{2000};
 
-/// A configuration is in force everywhere within about two seconds.
+/// A new configuration reaches all gateways within about two seconds.
 constexpr milliseconds route_retry_after{1000};
 
 error scoring_error(std::string detail)
@@ -16,7 +16,7 @@
 
 } // namespace
 
-// The route may be known here a moment later than elsewhere, so the trainer is told to come again.
+// The route may reach this gateway later than others, so the error asks the trainer to retry.
 result<done> check_scoring_routes(const configuration& current, const std::vector<batch_item>& items)
 {
     for (const auto& item : items) {
@@ -24,7 +24,7 @@
                                                              net::path_of(item.scoring->path)) != nullptr;
         if (!leads_there) {
             return error{error_code::unavailable, run_state::not_run,
-                         "no route leads to the scoring call " + item.scoring->id, route_retry_after};
+                         "no route matches the scoring call " + item.scoring->id, route_retry_after};
         }
     }
     return done{};
@@ -33,7 +33,7 @@
 net::task<scoring_outcome> item_scorer::score(scoring_call call, policy::priority urgency,
                                               std::shared_ptr<call_ticket> ticket)
 {
-    scoring_outcome outcome{scoring_error("no route leads to the scoring call")};
+    scoring_outcome outcome{scoring_error("no route matches the scoring call")};
     const auto* found = find_route(current_(), call.host, net::path_of(call.path));
     if (found == nullptr) {
         co_return outcome;
@@ -43,7 +43,7 @@
     request.http.method = "POST";
     request.http.target = call.path;
     request.http.fields.add("Host", call.host);
-    // The body was checked when the batch was accepted.
+    // The encoding was checked when the batch was accepted.
     auto body = decode_base64(call.body_base64);
     request.http.body = ok(body) ? std::move(value(body)) : std::string{};
     request.host = call.host;
@@ -63,7 +63,8 @@
         outcome.score = marks.authentication_code;
     }
     else {
-        outcome.score = scoring_error("the scoring call was answered " + std::to_string(response.status));
+        outcome.score =
+            scoring_error("scoring call returned no score, status " + std::to_string(response.status));
     }
     co_return outcome;
 }
--- a/src/gateway/item_scorer.hpp
+++ b/src/gateway/item_scorer.hpp
@@ -1,4 +1,4 @@
-/// Scores the text of an item by a call to the service that the item names.
+/// Scores an item's text by calling the service that the item names.
 #ifndef VANILLAGAUGE_GATEWAY_ITEM_SCORER_HPP
 #define VANILLAGAUGE_GATEWAY_ITEM_SCORER_HPP
 
@@ -11,26 +11,26 @@
 
 namespace vanillagauge::gateway {
 
-/// How one call for a score ended.
+/// Outcome of one scoring call.
 struct scoring_outcome {
-    result<std::string> score;   ///< the answer's authentication code
-    int internal_errors = 0;     ///< replicas that answered 500
-    int max_internal_errors = 1; ///< after which the route counts the call as failed for good
+    result<std::string> score;   ///< authentication code of the response
+    int internal_errors = 0;     ///< responses with status 500
+    int max_internal_errors = 1; ///< the route's limit, after which the call has failed permanently
 };
 
-/// `not_run` where no route leads to one of the batch's scoring calls.
+/// `not_run` if no route matches one of the batch's scoring calls.
 result<done> check_scoring_routes(const configuration& current, const std::vector<batch_item>& items);
 
 class item_scorer {
 public:
-    /// `current` tells the configuration in force. All must outlive it.
+    /// `current` returns the active configuration. All must outlive it.
     item_scorer(forwarder& calls, const target_protocol& protocol,
                 std::function<const configuration&()> current)
         : calls_(calls), protocol_(protocol), current_(std::move(current))
     {
     }
 
-    /// One call through the route of its host and path, at several replicas where the route allows it.
+    /// Makes one call through the route of its host and path, with several attempts if the route allows them.
     net::task<scoring_outcome> score(scoring_call call, policy::priority urgency,
                                      std::shared_ptr<call_ticket> ticket);
 
--- a/src/gateway/weights_updater.cpp
+++ b/src/gateway/weights_updater.cpp
@@ -15,23 +15,23 @@
 
 constexpr milliseconds poll_interval{100};
 
-/// A load takes about a second; then the engine is asked until it reports the version. Its report lags by
-/// some hundred milliseconds, its entry in the store by more than a second.
+/// A load takes about a second; afterwards the engine is polled until it reports the version. Its report lags
+/// by some hundred milliseconds, its entry in the store by more than a second.
 constexpr milliseconds expected_load_time{900};
 constexpr milliseconds report_poll_interval{150};
 constexpr milliseconds load_timeout{6000};
-/// An order without an answer may be carried out seconds later.
+/// An order without a response may be executed seconds later.
 constexpr milliseconds unanswered_backoff{1500};
 constexpr milliseconds refused_backoff{400};
 constexpr milliseconds call_timeout{1000};
 constexpr std::size_t max_response_bytes = 1U << 20U;
-/// Of an engine that names no time for idle connections.
+/// For an engine that specifies no idle timeout of connections.
 constexpr milliseconds default_idle_time{4000};
 
-/// Of a lease that does not tell how long its holder waits.
+/// For a lease that does not specify how long its holder waits.
 constexpr milliseconds default_order_delay{10000};
 
-/// More than this between the two clocks means that the machine stood still meanwhile.
+/// A larger change of the difference between the clocks means that the machine was suspended.
 constexpr milliseconds min_suspension{200};
 
 duration boot_clock()
@@ -98,7 +98,7 @@
     }
 }
 
-// The condition makes a write that is done late harmless: by then another holds the lease.
+// The write is conditional on the version, so it is harmless if delayed until another VM holds the lease.
 net::task<void> weights_updater::release_lease(std::uint64_t version, milliseconds takeover_wait)
 {
     const nlohmann::json free{{"holder", ""}, {"former", self_}, {"acts_in_ms", takeover_wait.count()}};
@@ -118,8 +118,8 @@
     }
 }
 
-// The steady clock stands still while the machine is suspended, so a holder that wakes believes its lease.
-// The other clock shows the gap; then the lease is read again and waited out like anybody else's.
+// The steady clock stops while the machine is suspended, so a resumed holder would still trust its lease. The
+// boot clock shows the gap; the lease is then read again and must expire first, like another VM's.
 bool weights_updater::was_suspended()
 {
     const auto gap = boot_clock() - steady::now().time_since_epoch();
@@ -142,7 +142,7 @@
     }
 }
 
-// A holder keeps the lease while it can renew it: each change of holder costs seconds without orders.
+// A holder keeps the lease as long as it can renew it: each change of holder costs seconds without orders.
 void weights_updater::update_candidate(time_point now)
 {
     const auto holder_vm = lease_.holder().substr(0, lease_.holder().find('@'));
@@ -219,7 +219,7 @@
     }
     else if (failure(written).code == error_code::conflict ||
              failure(written).code == error_code::not_found) {
-        // Who waits for the lease finds that its holder has renewed it; only a holder loses it.
+        // For a VM that waits for the lease this means that the holder has renewed it.
         const bool held = lease_.holds(requested_at);
         observe::log(held ? observe::log_level::warning : observe::log_level::info,
                      held ? "lease_lost" : "lease_not_taken", {{"why", describe(failure(written))}});
@@ -265,7 +265,7 @@
     if (required_versions_.empty() || !lease_.may_order(now)) {
         return;
     }
-    std::map<std::string, std::map<std::string, std::uint64_t>> newest; // by the models that share engines
+    std::map<std::string, std::map<std::string, std::uint64_t>> newest; // by service, then model
     std::map<std::string, std::vector<target_ref>> engines;
     for (const auto& [model, version] : required_versions_) {
         auto serving = engines_of(model);
@@ -319,11 +319,11 @@
         co_return error{error_code::unavailable, run_state::not_run, failed->detail};
     }
     const auto connection = std::get<std::shared_ptr<net::http_connection>>(taken);
-    // The wait for the connection may have been longer than the lease.
+    // The lease may have expired during the wait for the connection.
     const auto number = was_suspended() || stopped_ ? std::nullopt : lease_.may_order(steady::now());
     if (!number) {
         engine->pool.give_back(connection, seconds(1));
-        co_return error{error_code::conflict, run_state::not_run, "the lease has ended"};
+        co_return error{error_code::conflict, run_state::not_run, "the lease has expired"};
     }
     order.fencing = *number;
     const auto request = protocol_.order_request(engine->info, order);
@@ -334,9 +334,9 @@
     co_return protocol_.parse_order(value(response));
 }
 
-// One engine to one version. What the engine reports decides, not what was ordered: an order whose answer was
-// lost may have been taken, or may be taken seconds later, and names the count of orders that it expects, so
-// that a second one cannot be carried out beside it.
+// Loads one version at one engine. The engine's report decides, not the order: an order whose response was
+// lost may have been executed, or may be seconds later. Each order carries the count of orders that it
+// expects, so that a second one cannot be executed as well.
 net::task<void> weights_updater::load(target_ref engine, std::string model, std::uint64_t version)
 {
     const auto instance_id = engine->info.lifetime();
@@ -350,7 +350,7 @@
         const auto has = found == value(report).weights.end() ? std::uint64_t{0} : found->second;
         if (has >= version) {
             engine->saw_version(model, has);
-            outcome = "already there";
+            outcome = "already loaded";
         }
         else if (value(report).busy) {
             outcome = "busy";
@@ -371,7 +371,7 @@
             }
             else if (value(answer) == order_outcome::already_done) {
                 engine->saw_version(model, version);
-                outcome = "already there";
+                outcome = "already loaded";
             }
             else if (value(answer) == order_outcome::accepted) {
                 ordered = true;
--- a/src/gateway/weights_updater.hpp
+++ b/src/gateway/weights_updater.hpp
@@ -1,4 +1,5 @@
-/// Brings engines to the versions of weights that trainers name, from one holder in the fleet at a time.
+/// Orders engines to load the weights versions that trainers require. One lease holder in the fleet does so
+/// at a time.
 #ifndef VANILLAGAUGE_GATEWAY_WEIGHTS_UPDATER_HPP
 #define VANILLAGAUGE_GATEWAY_WEIGHTS_UPDATER_HPP
 
@@ -18,16 +19,15 @@
 
 class weights_updater {
 public:
-    /// `current` tells the configuration in force. All must outlive it.
+    /// `current` returns the active configuration. All must outlive it.
     weights_updater(net::loop& loop, object_store& store, const fleet_view& fleet, target_registry& targets,
                     const target_protocol& protocol, const config::settings& settings,
                     std::function<const configuration&()> current);
 
-    // Commands.
     void start();
-    /// A trainer named a version; versions of a model only grow.
+    /// A trainer requires this version of a model; lower versions are ignored.
     void require_version(const std::string& model, std::uint64_t version);
-    /// Orders nothing any more.
+    /// Orders no more loads and releases the lease.
     void stop();
 
 private:
@@ -38,14 +38,14 @@
     const target_protocol& protocol_;
     std::function<const configuration&()> current_;
     std::string order_holder_;
-    std::string self_; ///< as the lease names this VM: a replaced one may come back under its name elsewhere
+    std::string self_; ///< this VM in the lease, with its address: a replacement VM may reuse the name
     policy::order_lease lease_;
-    duration clock_gap_{0}; ///< between the steady clock and one that runs on while the machine is suspended
+    duration clock_gap_{0}; ///< between the steady clock and one that includes time in suspension
     std::map<std::string, std::uint64_t> required_versions_;
-    std::set<std::string> loading_;                   ///< lifetimes
-    std::map<std::string, time_point> backoff_until_; ///< by lifetime
-    bool holder_alive_ = false;                       ///< as the fleet sees it
-    bool ranked_first_ = false;                       ///< of those who may follow a holder that is gone
+    std::set<std::string> loading_;                   ///< instance ids
+    std::map<std::string, time_point> backoff_until_; ///< by instance id
+    bool holder_alive_ = false;                       ///< according to the fleet view
+    bool ranked_first_ = false; ///< ranked first among the possible successors of a failed holder
     bool stopped_ = false;
 
     net::task<void> run_loop();
