--- a/tests/gateway/batch_deployment.hpp
+++ b/tests/gateway/batch_deployment.hpp
@@ -1,4 +1,4 @@
-/// A deployment with two engines, and batches for it.
+/// A deployment with two engines, and requests for batches.
 #ifndef VANILLAGAUGE_TESTS_GATEWAY_BATCH_DEPLOYMENT_HPP
 #define VANILLAGAUGE_TESTS_GATEWAY_BATCH_DEPLOYMENT_HPP
 
@@ -75,7 +75,7 @@
         return served;
     }
 
-    /// Reads on until all is listed, at any of the addresses; the results by position.
+    /// Polls the addresses in turn until all results are published; returns them by position.
     std::vector<nlohmann::json> read_all(const std::vector<std::string>& addresses, const std::string& id)
     {
         std::vector<nlohmann::json> results;
@@ -98,7 +98,7 @@
     std::set<std::string> ids;
     for (const auto& entry : results) {
         const auto id = entry.at("Id").get<std::string>();
-        EXPECT_TRUE(ids.insert(id).second) << id << " stands at two positions";
+        EXPECT_TRUE(ids.insert(id).second) << id << " is published at two positions";
         EXPECT_EQ(entry.at("State"), "completed");
         EXPECT_EQ(entry.at("Text"), id + "-1\n" + id + "-2\n" + id + "-3\n" + id + "-4");
     }
--- a/tests/gateway/batch_progress_tests.cpp
+++ b/tests/gateway/batch_progress_tests.cpp
@@ -44,10 +44,9 @@
     progress.complete(index);
 }
 
-// The trainer reads an item at two positions of its batch. Two owners run the batch after a restart; one
-// opens a run, meanwhile reads a segment in which the other listed the item, and then takes the answer's head
-// for a reason to call the item running. Its second result would be listed again.
-TEST(batch_progress, does_not_run_an_item_again_that_another_owner_listed)
+// Guards against publishing an item twice: another owner publishes it between the request and the response of
+// a run here.
+TEST(batch_progress, does_not_rerun_an_item_published_by_another_owner)
 {
     batch_progress progress(make_header(), make_items(2));
     progress.start(0);
@@ -58,8 +57,8 @@
     EXPECT_EQ(progress.next_segment("me"), std::nullopt);
 }
 
-// A trainer must never read a completed item without its score, however early its text is whole.
-TEST(batch_progress, lists_an_item_with_a_scoring_call_only_with_its_score)
+// A trainer must never read a completed item without its score.
+TEST(batch_progress, publishes_a_scored_item_only_with_its_score)
 {
     auto items = make_items(2);
     items[0].scoring = scoring_call{"s0", "h", "/score/0", ""};
@@ -78,8 +77,8 @@
     EXPECT_EQ(progress.unpublished_results(), 1U);
 }
 
-// Another owner lists an item, with another score, while this one waits for its own: the listed one stands.
-TEST(batch_progress, drops_a_score_for_an_item_that_another_owner_listed)
+// Another owner publishes an item with another score while this one waits for its own: the first one counts.
+TEST(batch_progress, drops_a_score_after_another_owner_published)
 {
     auto items = make_items(1);
     items[0].scoring = scoring_call{"s0", "h", "/score/0", ""};
@@ -92,9 +91,9 @@
     EXPECT_TRUE(progress.all_published());
 }
 
-// The owner dies with a text half made and another that lacks only its score. The next owner asks for what
-// follows the first, and makes nothing of the second again.
-TEST(batch_progress, goes_on_with_the_texts_of_an_earlier_owner)
+// The owner crashes with one text incomplete and another that lacks only its score. The next owner resumes
+// the first and regenerates nothing of the second.
+TEST(batch_progress, continues_saved_texts_of_an_earlier_owner)
 {
     auto items = make_items(2);
     items[1].scoring = scoring_call{"s1", "h", "/score/1", ""};
@@ -116,7 +115,7 @@
     EXPECT_EQ(segment->results, expected);
 }
 
-TEST(batch_progress, takes_no_text_that_does_not_fit_the_batch)
+TEST(batch_progress, ignores_saved_texts_that_do_not_fit)
 {
     auto header = make_header();
     header.single_version = true;
@@ -132,7 +131,7 @@
     EXPECT_EQ(progress.unpublished_results(), 0U);
 }
 
-TEST(batch_texts, come_back_as_they_were_kept)
+TEST(batch_texts, are_read_back_as_saved)
 {
     batch_progress progress(make_header(), make_items(2));
     for (std::size_t index = 0; index < 2; ++index) {
@@ -145,7 +144,7 @@
     }
     ASSERT_EQ(progress.append_event(0, make_event(1, "x"), std::nullopt), run_rejection::none);
     const auto texts = texts_to_save(progress);
-    ASSERT_EQ(texts.size(), 1U) << "a text of one event is soon made again";
+    ASSERT_EQ(texts.size(), 1U) << "a text of one event is not worth saving";
     EXPECT_EQ(texts[0].id, "i1");
     EXPECT_EQ(texts[0].last_event, events);
     EXPECT_EQ(value(texts_from_json(to_json(texts))), texts);
@@ -170,7 +169,7 @@
     EXPECT_EQ(value(read).results, segment.results);
 }
 
-TEST(batch_progress, joins_the_events_of_runs_that_continue_each_other)
+TEST(batch_progress, joins_the_events_of_resumed_runs)
 {
     batch_progress progress(make_header(), make_items(1));
     progress.start(0);
@@ -206,7 +205,7 @@
     EXPECT_EQ(progress.begin_run(0, 0), run_rejection::old_weights);
 }
 
-TEST(batch_progress, lists_one_version_only_where_the_route_asks_for_one)
+TEST(batch_progress, publishes_a_single_version_where_required)
 {
     auto header = make_header();
     header.single_version = true;
@@ -224,7 +223,7 @@
     EXPECT_EQ(progress.next_segment("me")->results[0].versions, std::vector<std::uint64_t>{3});
 }
 
-TEST(batch_progress, gives_an_item_up_after_the_routes_attempts)
+TEST(batch_progress, terminates_an_item_after_the_routes_attempts)
 {
     batch_progress progress(make_header(), make_items(1));
     EXPECT_FALSE(progress.fail_attempt(0));
@@ -243,7 +242,7 @@
     EXPECT_EQ(progress.order(), (std::vector<std::size_t>{2, 1, 0}));
 }
 
-TEST(batch_progress, tells_that_a_whole_group_waits_to_be_listed)
+TEST(batch_progress, reports_a_complete_unpublished_group)
 {
     batch_progress progress(make_header(), make_items(4));
     finish(progress, 0);
@@ -252,16 +251,16 @@
     EXPECT_TRUE(progress.has_complete_group());
 }
 
-/// The store as segments see it: a name is created once, whatever is lost or late.
+/// The store of segments: each name can be created only once.
 struct fake_results {
     std::map<std::size_t, result_segment> segments;
 
     bool create(const result_segment& segment) { return segments.emplace(segment.first, segment).second; }
 };
 
-// Two owners run one batch. Their writes are done and answered, done without an answer, or done later.
-// Whatever the order, every position holds one result for ever and no item stands at two.
-RC_GTEST_PROP(batch_progress, lists_every_item_once_with_two_owners, ())
+// Two owners run one batch. Their writes succeed, time out after taking effect, or take effect later. In any
+// order, a position never changes and no item is published at two.
+RC_GTEST_PROP(batch_progress, publishes_every_item_once_with_two_owners, ())
 {
     constexpr std::size_t count = 6;
     fake_results stored;
@@ -293,7 +292,7 @@
                 owner.finish_write();
             }
             break;
-        case 4: // done, or to be done later, without an answer
+        case 4: // times out; takes effect later or never
             if (const auto segment = owner.next_segment("w")) {
                 late.push_back(*segment);
                 owner.finish_write();
--- a/tests/gateway/batch_tests.cpp
+++ b/tests/gateway/batch_tests.cpp
@@ -8,7 +8,7 @@
 using nlohmann::json;
 using standins::replica_fault;
 
-/// Each is ready and knows all of them.
+/// Waits until each gateway is ready and has discovered all of them.
 void expect_discovered(const std::vector<running_gateway*>& gateways)
 {
     for (auto* served : gateways) {
@@ -20,7 +20,7 @@
     }
 }
 
-TEST(batches, are_accepted_once_run_and_listed)
+TEST(batches, are_accepted_once_and_published)
 {
     batch_deployment cluster;
     auto& served = cluster.ready_gateway("a");
@@ -36,7 +36,7 @@
     EXPECT_EQ(middle["NextToken"], item_count);
 }
 
-TEST(batches, answer_404_only_where_the_store_knows_none)
+TEST(batches, are_not_found_only_if_the_store_confirms_it)
 {
     batch_deployment cluster;
     auto& served = cluster.ready_gateway("a");
@@ -49,9 +49,8 @@
               0U);
 }
 
-// The store does the acceptance and its answer is lost. The trainer must not hear that nothing runs: the
-// batch stands and will run.
-TEST(batches, are_not_refused_where_the_acceptance_may_have_taken_effect)
+// The store writes the batch but its response is lost. The batch will run, so it must not be refused.
+TEST(batches, are_not_refused_if_the_write_may_have_taken_effect)
 {
     batch_deployment cluster;
     auto& served = cluster.ready_gateway("a");
@@ -60,8 +59,8 @@
     expect_complete(cluster.read_all({served.address()}, "b1"));
 }
 
-// Writes of results are done late, after others under the same name. Every position keeps its first content.
-TEST(batches, list_every_item_once_when_writes_are_done_late)
+// Writes of results take effect late, after others under the same name. No position may change.
+TEST(batches, publish_every_item_once_with_delayed_writes)
 {
     batch_deployment cluster;
     auto& served = cluster.ready_gateway("a");
@@ -73,9 +72,8 @@
     expect_complete(cluster.read_all({served.address()}, "b1"));
 }
 
-// Streams break off in the middle of an event, are refused, and fail: each goes on behind its last whole
-// event.
-TEST(batches, resume_items_whose_runs_break_off)
+// Streams are cut in the middle of an event, refused, and fail: each resumes after its last complete event.
+TEST(batches, resume_items_after_interrupted_runs)
 {
     batch_deployment cluster;
     auto& served = cluster.ready_gateway("a");
@@ -87,7 +85,7 @@
     expect_complete(cluster.read_all({served.address()}, "b1"));
 }
 
-TEST(batches, list_items_that_can_never_be_done_as_terminated)
+TEST(batches, publish_rejected_items_as_terminated)
 {
     batch_deployment cluster;
     auto& served = cluster.ready_gateway("a");
@@ -104,9 +102,8 @@
     EXPECT_LE(given_up, 2);
 }
 
-// The gateway that accepted a batch dies in its middle. Another one runs what is left, and readers at either
-// see the same positions.
-TEST(batches, are_finished_by_another_gateway_when_their_own_dies)
+// The gateway that accepted a batch crashes while running it. Another one runs the remaining items.
+TEST(batches, are_finished_by_another_gateway_after_a_crash)
 {
     batch_deployment cluster;
     auto& first = cluster.ready_gateway("a");
@@ -121,10 +118,9 @@
     expect_complete(cluster.read_all({second.address()}, "b1"));
 }
 
-// The store is silent for everybody when a step comes; its trainer brings it to one gateway after the other.
-// Nobody is told that the batch stands, but one of the gateways runs it, once. When the store is back the
-// trainer hears 202 and finds the results of what ran meanwhile.
-TEST(batches, are_run_once_while_the_store_is_silent_and_accepted_when_it_is_back)
+// The store does not respond while a trainer submits its batch to one gateway after the other. None accepts
+// it, but one of them runs it, once. After the outage it is accepted, with the results obtained meanwhile.
+TEST(batches, run_once_during_a_store_outage)
 {
     batch_deployment cluster;
     auto& first = cluster.add_gateway_at_second("a");
@@ -150,9 +146,9 @@
     EXPECT_EQ(runs(), item_count);
 }
 
-// The store is silent when a step comes, and refuses when it comes again, at each gateway. One of them runs
-// it meanwhile, so none may say that nothing of it runs.
-TEST(batches, that_run_ahead_are_not_refused_anywhere)
+// The store does not respond to a submission and then refuses the next ones. One gateway already runs the
+// batch speculatively, so none may guarantee that it does not run.
+TEST(batches, run_speculatively_are_not_refused_anywhere)
 {
     batch_deployment cluster;
     auto& first = cluster.add_gateway_at_second("a");
@@ -166,13 +162,14 @@
     });
     for (auto* served : {&first, &second}) {
         EXPECT_EQ(cluster.status_of(served->address(), make_batch("b1")), 502);
-        EXPECT_EQ(cluster.status_of(served->address(), make_batch("b2")), 503) << "nothing of this one runs";
+        EXPECT_EQ(cluster.status_of(served->address(), make_batch("b2")), 503)
+            << "no part of this batch runs";
     }
 }
 
-// A trainer gives its step up while the store is silent. What was run ahead of an acceptance ends, and leaves
-// nothing behind when the store is back.
-TEST(batches, run_ahead_are_dropped_when_their_trainer_brings_them_no_more)
+// A trainer abandons its batch during a store outage. The speculative run ends, and nothing is stored after
+// the outage.
+TEST(batches, run_speculatively_are_dropped_when_abandoned)
 {
     batch_deployment cluster;
     auto& served = cluster.add_gateway_at_second("a");
@@ -190,9 +187,9 @@
               0U);
 }
 
-// The owner dies while its items are long under way. Without their texts each would begin at its start and
-// the step would take its whole time again; the next owner asks for what follows the kept ones.
-TEST(batches, go_on_behind_the_kept_texts_when_their_owner_dies)
+// The owner crashes while long items run. The next owner resumes each after its saved text instead of running
+// it from the start.
+TEST(batches, continue_saved_texts_after_their_owner_crashes)
 {
     batch_deployment cluster;
     auto& first = cluster.ready_gateway("a");
@@ -227,9 +224,9 @@
     }
 }
 
-// All gateways lose power at once. Each knows only itself when it is back; if each took every open batch,
-// every item would run as often as there are gateways, and the steps behind would come late.
-TEST(batches, are_left_alone_by_a_gateway_that_does_not_know_the_others_yet)
+// After a restart of all gateways each one knows only itself. If each claimed every batch, every item would
+// run once per gateway.
+TEST(batches, are_not_claimed_before_discovery)
 {
     batch_deployment cluster;
     auto& first = cluster.ready_gateway("a");
@@ -245,9 +242,9 @@
     expect_complete(cluster.read_all({second.address()}, "b1"));
 }
 
-// The only gateway is killed and started again. It has met all that are registered at once, so the batch need
-// not wait for the time in which others might show themselves.
-TEST(batches, are_taken_over_at_once_where_all_registered_gateways_are_met)
+// The only gateway crashes and restarts. It has discovered all registered gateways at once, so the batch must
+// not wait for the discovery time.
+TEST(batches, are_taken_over_at_once_after_discovery)
 {
     batch_deployment cluster;
     auto& before = cluster.ready_gateway("a");
@@ -279,8 +276,8 @@
     EXPECT_EQ(std::get<net::http_response>(outcome).body, "hi");
 }
 
-// The trainer ends its batch: nothing of it runs any more, wherever the end was asked for.
-TEST(batches, stop_when_they_are_ended)
+// Ending a batch at any gateway stops its runs.
+TEST(batches, stop_when_ended)
 {
     batch_deployment cluster;
     auto& first = cluster.ready_gateway("a");
@@ -304,9 +301,9 @@
     EXPECT_EQ(runs(), before);
 }
 
-// A trainer names a version. The holder brings the engines to it, one order each, and a batch that asks for
-// it waits until an engine has it.
-TEST(batches, wait_for_the_weights_that_they_ask_for)
+// A trainer requires a weights version. Each engine is ordered to load it once, and a batch that requires it
+// waits until an engine has it.
+TEST(batches, wait_for_required_weights)
 {
     batch_deployment cluster;
     auto& served = cluster.ready_gateway("a");
@@ -326,9 +323,8 @@
     }));
 }
 
-// A reader waits for results that take long and asks again and again where the last answer ended. Each of its
-// questions cost the store a listing and a watch; the watch alone tells as much.
-TEST(batches, are_read_on_without_being_listed_again)
+// Guards against a listing per request of a polling reader; a watch alone is enough.
+TEST(batches, are_polled_without_repeated_listings)
 {
     batch_deployment cluster;
     auto& served = cluster.ready_gateway("a");
@@ -343,7 +339,7 @@
         EXPECT_EQ(cluster.body_of(served.address(), make_read("b1", 0))["Total"], item_count);
     }
     EXPECT_EQ(lists(), before);
-    // Without its history the store can't tell what came since: the listing does.
+    // Without its history the store cannot serve the watch; a listing must replace it.
     cluster.change([](standins::fake_store& store) {
         store.put(
             "results-b1", "00000000",
@@ -358,9 +354,9 @@
     EXPECT_EQ(page["Results"][0]["Id"], "b1-i0");
 }
 
-// Another writer's entry stands where the batch's first results belong and can't be read. The batch can't go
-// on; tried again at once and for good, its results took all calls that the store gives this gateway.
-TEST(batches, with_an_unreadable_entry_among_their_results_leave_the_store_alone)
+// An undecodable entry holds the position of the batch's first results. Guards against retries without delay,
+// which would use up the gateway's calls to the store.
+TEST(batches, limit_writes_after_an_undecodable_entry)
 {
     batch_deployment cluster;
     auto& served = cluster.ready_gateway("a");
@@ -375,7 +371,7 @@
     EXPECT_LE(calls() - before, 10U);
 }
 
-TEST(retirement, is_answered_by_the_vm_that_is_to_be_emptied)
+TEST(retirement, is_completed_by_the_retired_vm)
 {
     batch_deployment cluster;
     cluster.ready_gateway("a");
--- a/tests/gateway/scored_batch_tests.cpp
+++ b/tests/gateway/scored_batch_tests.cpp
@@ -28,7 +28,7 @@
     }
 }
 
-TEST(scored_batches, list_each_result_with_its_score)
+TEST(scored_batches, publish_each_result_with_its_score)
 {
     scored_deployment cluster;
     auto& served = cluster.ready_gateway("a");
@@ -44,9 +44,9 @@
     }
 }
 
-// Calls are lost, refused, cut and answered with somebody else's answer. Each is made again; none of these
-// answers becomes a score.
-TEST(scored_batches, make_a_call_again_that_brought_no_score)
+// Calls are reset, refused, failed, and answered for another attempt or without a code. Each is retried; no
+// such response becomes a score.
+TEST(scored_batches, retry_calls_that_return_no_score)
 {
     scored_deployment cluster;
     auto& served = cluster.ready_gateway("a");
@@ -58,9 +58,9 @@
     expect_scored(cluster.read_all({served.address()}, "b1"), "stamp-s1");
 }
 
-// One call is answered 500 each time. Its item ends as terminated after the attempts that the route allows,
-// so that the trainer hears of it; the others are not held up.
-TEST(scored_batches, end_an_item_whose_call_fails_for_good)
+// One call is answered 500 each time. Its item is terminated after the attempts that the route allows; the
+// others are not delayed.
+TEST(scored_batches, terminate_an_item_after_a_permanent_failure)
 {
     scored_deployment cluster;
     auto& served = cluster.ready_gateway("a");
@@ -77,9 +77,9 @@
               3);
 }
 
-// The scoring service has no replica while the texts are made. Nothing is listed as completed without a
-// score; once a replica is there, everything is.
-TEST(scored_batches, wait_for_a_scoring_service_that_is_away)
+// The scoring service has no replica while the texts are generated. No result is published without a score;
+// all are once a replica is ready.
+TEST(scored_batches, wait_for_an_unavailable_scoring_service)
 {
     scored_deployment cluster;
     cluster.put_replica(cluster.scorer, "plain", "draining");
@@ -91,8 +91,8 @@
     expect_scored(cluster.read_all({served.address()}, "b1"), "stamp-s1");
 }
 
-// The owner dies after the texts are whole and before they are scored. Another gateway makes both again.
-TEST(scored_batches, are_scored_by_another_gateway_when_their_own_dies_before_it)
+// The owner crashes with texts complete but not scored. Another gateway obtains both again.
+TEST(scored_batches, are_scored_by_another_gateway_after_a_crash)
 {
     scored_deployment cluster;
     auto& first = cluster.ready_gateway("a");
@@ -105,7 +105,7 @@
     expect_scored(cluster.read_all({second.address()}, "b1"), "stamp-s1");
 }
 
-// The trainer ends the batch while its calls wait for places at a busy replica. None of them begins any more.
+// The trainer ends the batch while its calls wait for capacity at a busy replica. No further call is made.
 TEST(scored_batches, make_no_call_after_their_end)
 {
     scored_deployment cluster;
@@ -120,9 +120,9 @@
     EXPECT_EQ(cluster.scoring_runs().size(), before);
 }
 
-// Six texts are whole at once and a replica of four slots takes a while for each call. The calls take one of
-// its slots; callers have the others to themselves.
-TEST(scored_batches, leave_places_to_callers)
+// Six texts are complete at once at a slow replica with a capacity of four. Scoring uses one of them; the
+// rest is left to callers.
+TEST(scored_batches, leave_capacity_to_callers)
 {
     scored_deployment cluster;
     auto& served = cluster.ready_gateway("a");
@@ -137,8 +137,8 @@
     }
 }
 
-// No route leads to the scoring call. The trainer is told so at once, and that nothing runs.
-TEST(scored_batches, are_refused_where_no_route_leads_to_a_scoring_call)
+// The refusal must come at once and guarantee that no part of the batch runs.
+TEST(scored_batches, are_refused_without_a_scoring_route)
 {
     scored_deployment cluster;
     auto& served = cluster.ready_gateway("a");
