--- a/src/fleet/datagram.hpp
+++ b/src/fleet/datagram.hpp
@@ -1,4 +1,4 @@
-/// The messages of the failure detector between keepers.
+/// The datagrams that keepers exchange for failure detection and gossip.
 #ifndef VANILLAGAUGE_FLEET_DATAGRAM_HPP
 #define VANILLAGAUGE_FLEET_DATAGRAM_HPP
 
@@ -11,7 +11,7 @@
 
 enum class datagram_kind { ping, ack, relay_request, gossip };
 
-/// Says which configuration the sender holds; the detector only carries it.
+/// Identifies the sender's configuration; the failure detector only carries it.
 struct config_mark {
     std::uint64_t digest = 0;
     std::uint64_t newest_version = 0;
@@ -20,18 +20,18 @@
 struct datagram {
     datagram_kind kind = datagram_kind::ping;
     std::string from;           ///< the sender's VM
-    std::string from_address{}; ///< where it receives datagrams
+    std::string from_address{}; ///< where the sender receives datagrams
     std::string from_peer_address{};
-    std::string to; ///< the VM that is meant; another one at this address stays silent
+    std::string to; ///< the intended VM; another VM at this address does not reply
     std::uint64_t sequence = 0;
-    std::string relay_vm{}; ///< relay_request: whom to ping
+    std::string relay_vm{}; ///< relay_request: the VM to ping
     std::string relay_address{};
     std::uint64_t members_digest = 0;
     config_mark config{};
     std::vector<member_update> updates{};
 };
 
-/// An upper estimate of the bytes on the network, with the IP and UDP headers and the authentication.
+/// An upper estimate of the bytes on the network, with IP and UDP headers and the authentication code.
 std::size_t estimated_size(const datagram& message);
 
 } // namespace vanillagauge::fleet
--- a/src/fleet/failure_detector.cpp
+++ b/src/fleet/failure_detector.cpp
@@ -5,10 +5,9 @@
 namespace vanillagauge::fleet {
 namespace {
 
-/// A tick that comes this much late means that the process did not run; see notice_pause.
+/// A tick this late means that the process was paused; see detect_pause.
 constexpr milliseconds pause_threshold{700};
-/// A changed configuration is told this often by each node that took it; the comparison on every probe finds
-/// the rest.
+/// How often a node gossips a changed configuration; the digests in probes and acks reach the rest.
 constexpr int config_transmit_limit = 8;
 
 } // namespace
@@ -36,8 +35,8 @@
                        tokens_ + passed.count() * static_cast<double>(timing_.bytes_per_second));
 }
 
-// A process that was stopped for a while wakes with all its probes overdue. Its peers answered; it could not
-// listen. Without this it would suspect every VM it was probing, and bury those it suspected before.
+// After a pause of the process all its probes are overdue, though the acks may have arrived unread. Without
+// this it would suspect every VM that it was probing and declare its suspects dead.
 void failure_detector::detect_pause(time_point now)
 {
     const auto late = now - last_tick_;
@@ -133,7 +132,7 @@
     });
 }
 
-// One lost datagram or one bad path between two VMs is no death: three others try before it is suspected.
+// A lost datagram or a broken path between two VMs must not make one suspect, so other VMs probe it first.
 void failure_detector::request_relays(std::uint64_t sequence, const probe& pending, detector_actions& actions)
 {
     const auto* target = view_.find(pending.vm);
@@ -165,10 +164,10 @@
     config_transmissions_ = std::max(0, config_transmissions_ - 1);
 }
 
-// Two halves of a fleet that lost each other for an hour hold each other for dead and probe only the living:
-// without this they would stay apart after the link is back. A dead VM is tried in turn and told that it is
-// held for dead; its refutation spreads like any statement, without any seed. Where one VM has come back the
-// others behind the same link are likely back too, so they are tried in quick succession.
+// After a long partition each side considers the other dead and probes only live VMs, so the sides would
+// never merge. A random dead VM is therefore pinged; the ping carries its state here, and its refutation
+// spreads like any update, without seeds. After one recovery others behind the same link have likely
+// recovered too, so the interval is shortened.
 void failure_detector::reconnect(time_point now, detector_actions& actions)
 {
     const auto last = view_.last_recovery();
@@ -277,9 +276,9 @@
     send(request.relay_address, make(datagram_kind::ping, request.relay_vm, sequence), actions);
 }
 
-// Gossip is random: now and then a claim misses somebody, and after a partition far more than fits the queue
-// differs. Equal digests end the matter for 8 bytes; unequal ones lead to a comparison, at most one in ten
-// seconds so that its bytes stay bounded, and not while claims are still on their way.
+// Gossip may miss a member, and after a partition more differs than the queue spreads. Views with different
+// digests are compared whole, on average at most every `compare_interval` to bound the bytes, and not while
+// updates are still queued.
 void failure_detector::maybe_compare(const datagram& message, time_point now, detector_actions& actions)
 {
     const bool unknown_sender = view_.find(message.from) == nullptr;
--- a/src/fleet/failure_detector.hpp
+++ b/src/fleet/failure_detector.hpp
@@ -1,5 +1,5 @@
-/// Finds dead VMs by probing a few others each period and spreads what it finds, with a bounded number of
-/// bytes whatever the fleet's size.
+/// Detects dead VMs by probing one VM per period and spreads membership updates by gossip; the bytes
+/// sent are bounded whatever the size of the fleet.
 #ifndef VANILLAGAUGE_FLEET_FAILURE_DETECTOR_HPP
 #define VANILLAGAUGE_FLEET_FAILURE_DETECTOR_HPP
 
@@ -16,18 +16,18 @@
 
 struct detector_timing {
     milliseconds probe_interval{500};
-    milliseconds ack_timeout{200}; ///< then others are asked to probe
+    milliseconds ack_timeout{200}; ///< then other VMs are requested to probe
     milliseconds probe_timeout{450};
-    milliseconds gossip_interval{100};             ///< extra datagrams while there is news
-    milliseconds reconnect_interval{5000};         ///< a dead VM is tried, in turn
-    milliseconds recovery_window{10000};           ///< for this long after a return from the dead
-    milliseconds recovery_reconnect_interval{250}; ///< the dead are tried this often
-    milliseconds compare_interval{10000};          ///< whole views are compared at most this often
+    milliseconds gossip_interval{100};             ///< between extra datagrams while updates are queued
+    milliseconds reconnect_interval{5000};         ///< between pings of a random dead VM
+    milliseconds recovery_window{10000};           ///< how long a recovery shortens the reconnect interval
+    milliseconds recovery_reconnect_interval{250}; ///< the reconnect interval within that window
+    milliseconds compare_interval{10000};          ///< mean time between comparisons of whole views
     std::size_t relays = 3;
     std::size_t gossip_fanout = 2;
-    std::size_t bytes_per_second = 2000; ///< sent; probes and their answers come first
+    std::size_t bytes_per_second = 2000; ///< sent; probes and acks take precedence
     std::size_t burst_bytes = 6000;
-    std::size_t max_datagram_bytes = 1200; ///< fits every path without fragments
+    std::size_t max_datagram_bytes = 1200; ///< avoids IP fragmentation
 };
 
 /// Send this datagram to `address`.
@@ -36,7 +36,7 @@
     datagram message;
 };
 
-/// Compare whole views with the keeper at this address, over a connection.
+/// Compare whole views with the keeper at this address over a connection.
 struct compare_views {
     std::string peer_address;
 };
@@ -49,8 +49,7 @@
     failure_detector(node self, detector_timing timing, membership_timing member_timing, std::uint64_t seed,
                      time_point now);
 
-    // Commands.
-    /// To be called each 50 to 100 ms.
+    /// Call every 50 to 100 ms.
     detector_actions tick(time_point now);
     detector_actions receive(const datagram& message, time_point now);
     void announce(const node& self, time_point now) { view_.announce(self, now); }
@@ -58,11 +57,10 @@
     {
         return view_.merge_diff(updates, now);
     }
-    /// Tells a few peers that this VM leaves.
+    /// Announces to a few peers that this VM leaves.
     detector_actions leave(time_point now);
     void set_config(config_mark mark);
 
-    // Queries.
     const membership& view() const { return view_; }
 
 private:
@@ -85,7 +83,7 @@
     std::uint64_t sequence_ = 0;
     std::map<std::uint64_t, probe> probes_;
     std::map<std::uint64_t, relayed_probe> relayed_;
-    std::deque<std::string> order_; ///< whom to probe next; every other VM once in a shuffled round
+    std::deque<std::string> order_; ///< VMs to probe; each other VM once per shuffled round
     time_point last_tick_;
     time_point next_probe_;
     time_point next_gossip_;
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -1,4 +1,4 @@
-/// Which VMs are there, and which of them owns what.
+/// Membership of the fleet, leases and ownership.
 #ifndef VANILLAGAUGE_FLEET_FLEET_HPP
 #define VANILLAGAUGE_FLEET_FLEET_HPP
 
--- a/src/fleet/lease.cpp
+++ b/src/fleet/lease.cpp
@@ -7,8 +7,7 @@
 namespace vanillagauge::fleet {
 namespace {
 
-/// A cycle is one list and one write. Beyond the size at which all VMs together reach this rate, leases get
-/// longer instead of the store busier.
+/// A cycle is one list and one write. In fleets that would exceed this rate, leases get longer instead.
 constexpr std::int64_t cycles_per_second = 16;
 constexpr int cycles_per_ttl = 3;
 constexpr milliseconds retry_after{1000};
@@ -37,8 +36,8 @@
     return true;
 }
 
-// The other holder's clock is not known here. Its lease ends at the latest one length after the renewal was
-// sent, which was before this VM first saw that version.
+// The holder's clock is unknown here. Its lease ends at most one TTL after the renewal was sent, which was
+// before this VM first saw that version.
 bool lease_cycle::expired(const observed_lease& lease, time_point now) const
 {
     return now - lease.first_seen > lease.ttl + timing_.clock_margin + timing_.max_order_time;
@@ -65,20 +64,20 @@
     return {own_version_, timing_.ttl};
 }
 
-// The lease runs from the start of the cycle, before the list: the holder then knows no older set of holders
-// than its lease is long, and a reply that waited in a paused process extends nothing.
+// The lease runs from the start of the cycle, before the list, so the known set of holders is never older
+// than the lease, and a reply read late by a paused process does not extend it.
 void lease_cycle::renewed(std::uint64_t version, time_point now)
 {
     in_progress_ = false;
     failures_ = 0;
     const bool continued = fencing_token_ != 0 && now < held_until_;
     if (!continued) {
-        // Whoever took over in between does not know of this lease before its own next cycle, and acts until
-        // then at the most one length. Acting at once would make two owners.
+        // A VM that took over in the meantime sees this lease only in its next cycle and may act for up to
+        // one TTL until then. Acting at once would make two owners.
         effective_from_ = now + timing_.ttl + timing_.clock_margin + timing_.max_order_time;
     }
-    // Also where the lease went on: a VM that takes over from a lapsed one needs a number above all of the
-    // other's, and this update came after the list that showed the lapse.
+    // Also for a continued lease: after a takeover the token must exceed all tokens of the expired holder,
+    // and this update came after the list that showed the expiry.
     fencing_token_ = version;
     held_until_ = cycle_started_ + timing_.ttl;
     holders_ = pending_holders_;
@@ -87,8 +86,8 @@
 void lease_cycle::failed(time_point now)
 {
     in_progress_ = false;
-    // Spread by name and attempt: in an outage the fleet's retries must neither come at one moment nor grow
-    // beyond the rate of its renewals.
+    // Backoff with jitter by VM and attempt: in an outage the fleet's retries must neither synchronise nor
+    // exceed the renewal rate.
     const auto max_delay =
         std::min(timing_.renew_interval, retry_after * (1 << std::min(failures_, max_doublings)));
     const auto half = static_cast<std::uint64_t>(max_delay.count() / 2);
@@ -105,8 +104,8 @@
     return {fencing_token_, remaining(now, held_until_)};
 }
 
-// A VM that crashed and was replaced under another name leaves its lease behind. At thousands of replacements
-// a day every list would soon carry more of them than of the living.
+// A VM that crashed and was replaced under another name leaves its lease behind. With many replacements such
+// leases would soon outnumber the valid ones in every list.
 std::vector<lease_record> lease_cycle::abandoned(time_point now) const
 {
     std::vector<lease_record> found;
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -7,12 +7,12 @@
 namespace vanillagauge::fleet {
 namespace {
 
-/// A claim is told 4 times for each power of ten of the fleet: a random spread then misses a member with a
-/// chance below one in a thousand, and the comparison of views finds what was missed.
+/// With 4 transmissions per decimal digit of the fleet's size, gossip misses a member with a probability
+/// below 0.001; the comparison of views repairs the rest.
 constexpr int transmissions_per_digit = 4;
 constexpr std::size_t small_fleet = 8;
 constexpr std::size_t isolated_divisor = 4;
-/// The first return from the dead is taken at once; a VM that keeps returning is held back.
+/// The first recovery takes effect at once; those of a flapping VM are damped.
 constexpr int undamped_recoveries = 1;
 constexpr int max_doublings = 6;
 constexpr std::size_t max_forwarded_updates = 16;
@@ -32,7 +32,7 @@
     return state == member_state::alive || state == member_state::suspect;
 }
 
-/// The claim as it is sent: the dead and the suspect need no content.
+/// The update to send; only that of a live member carries its information.
 member_update update_of(const member& seen)
 {
     if (seen.state == member_state::alive) {
@@ -76,7 +76,7 @@
     toggle_in_digest(own);
 }
 
-// XOR: counting an entry twice takes it out again.
+// XOR: toggling an entry a second time removes it.
 void membership::toggle_in_digest(const member_entry& entry)
 {
     if (is_live(entry.seen.state)) {
@@ -113,8 +113,8 @@
     auto& own = members_.at(self_vm_);
     self.incarnation = own.seen.info.incarnation;
     self.heartbeat = own.seen.info.heartbeat;
-    // The configuration held changes thousands of times a day on every node. Spreading that as statements
-    // would cost more than everything else together; who needs it asks (see config_census).
+    // The configuration version changes too often on every node to be spread by gossip; it is requested where
+    // it is needed (see config_census).
     own.seen.info.config_version = self.config_version;
     if (self == own.seen.info) {
         return false;
@@ -149,8 +149,8 @@
     return apply(update, now, true);
 }
 
-// A VM that joins learns hundreds of claims at once, all known to the fleet. Telling each of them on would
-// fill its own and its peers' datagrams for minutes, and fresh claims would wait behind them.
+// A VM that joins receives hundreds of updates that the fleet already has. Forwarding them would fill its own
+// and its peers' datagrams for minutes and delay new updates.
 bool membership::merge_diff(const std::vector<member_update>& updates, time_point now)
 {
     const bool forward = updates.size() <= max_forwarded_updates;
@@ -168,13 +168,13 @@
     }
     const auto found = members_.find(update.info.vm);
     if (found == members_.end()) {
-        // A dead VM that was never known here, or was forgotten, is no news: taking it up again would keep
-        // the dead of all days alive in the gossip.
+        // Ignores an unknown VM that is not alive: adding it again after its removal would keep it in the
+        // gossip for ever.
         if (update.state != member_state::alive) {
             return false;
         }
         auto& entry = members_[update.info.vm];
-        entry.seen.state = member_state::dead; // not in the digest until it is replaced
+        entry.seen.state = member_state::dead; // keeps it out of the digest until replace()
         replace(entry, update, now);
         if (forward) {
             enqueue(entry);
@@ -196,8 +196,8 @@
     return true;
 }
 
-// A paused or cut-off VM learns on its return that others hold it for suspect or dead, or meets statements of
-// its own former life with a clock that ran ahead. Only a higher statement of its own clears that everywhere.
+// After a pause or partition others may consider this VM suspect or dead, and after a restart with its clock
+// set back they may hold a later incarnation. Only a newer update of its own supersedes these everywhere.
 bool membership::refute(const member_update& update, time_point now)
 {
     auto& own = members_.at(self_vm_);
@@ -212,8 +212,8 @@
     return true;
 }
 
-// A VM whose link comes and goes every few seconds would pull work to itself and lose it each time. From its
-// second return on it is shown as suspect for a time that doubles with each return, so it gets no new work.
+// A VM with a flapping link would attract work and lose it each time. From its second recovery on it is
+// reported as suspect, so it gets no new work, for a time that doubles with each recovery.
 void membership::note_recovery(member_entry& entry, time_point now)
 {
     const auto forgiven = (now - entry.last_recovery) / timing_.flap_decay;
@@ -246,8 +246,8 @@
     enqueue(own);
 }
 
-// The suspicion and its refutation each have to cross the fleet, which takes rounds that grow with the
-// logarithm of its size.
+// Suspicion and refutation each have to spread through the fleet, which takes a number of rounds logarithmic
+// in its size.
 milliseconds membership::suspicion_timeout() const
 {
     const auto eighths = std::max<std::size_t>(members_.size() / small_fleet, 1);
@@ -369,10 +369,10 @@
     return list;
 }
 
-// Only statements and departures are compared, never deaths. After an hour's partition each half holds the
-// other for dead under the very statements that the other holds for alive: handing those deaths over would
-// bury the whole fleet on both sides until all had refuted. A dead VM is told so itself when it is tried
-// again, and its refutation is a newer statement.
+// Compares only live and left members, never dead ones. After a long partition each side considers the other
+// dead at the same version at which the other is alive there: exchanging these deaths would mark the whole
+// fleet dead until all had refuted. A dead VM learns its state when it is pinged again, and its refutation
+// has a newer version.
 view_difference membership::compare(const std::vector<member_summary>& theirs) const
 {
     std::map<std::uint64_t, member_summary> by_hash;
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -1,4 +1,4 @@
-/// The view one VM has of the others: who is alive, suspect, dead or has left, and what each says of itself.
+/// One VM's view of the fleet: the state of each member and the information that it announces.
 #ifndef VANILLAGAUGE_FLEET_MEMBERSHIP_HPP
 #define VANILLAGAUGE_FLEET_MEMBERSHIP_HPP
 
@@ -14,22 +14,22 @@
 namespace vanillagauge::fleet {
 
 struct membership_timing {
-    milliseconds suspicion_timeout{1500};     ///< least time a suspect has to refute
+    milliseconds suspicion_timeout{1500};     ///< minimum time for a suspect to refute
     milliseconds suspicion_per_doubling{500}; ///< added for each doubling of the fleet beyond 8
-    milliseconds dead_retention{86400000};    ///< a dead VM is kept, and tried again, for this long
+    milliseconds dead_retention{86400000};    ///< how long a dead VM is kept and pinged
     milliseconds left_retention{600000};
-    milliseconds flap_decay{60000}; ///< one recovery is forgotten after this long
+    milliseconds flap_decay{60000}; ///< after which one recovery no longer counts
     milliseconds max_damping{60000};
-    std::size_t max_members = 4096; ///< beyond it the longest dead are forgotten first
+    std::size_t max_members = 4096; ///< beyond it the members dead longest are removed first
 };
 
 struct member {
     node info;
     member_state state = member_state::alive;
-    time_point since{}; ///< when the state changed last, by this VM's clock
+    time_point since{}; ///< the last state change, by this VM's clock
 };
 
-/// A member's version without its content, for comparing two views.
+/// A member's version without its content, to compare two views.
 struct member_summary {
     std::uint64_t vm_hash = 0;
     std::uint64_t incarnation = 0;
@@ -39,40 +39,37 @@
 
 std::uint64_t vm_hash(const std::string& vm);
 
-/// What one side of a comparison owes the other.
+/// The updates to exchange after a comparison.
 struct view_difference {
     std::vector<member_update> newer_here;
-    std::vector<std::uint64_t> wanted; ///< hashes of VMs that the other side knows better
+    std::vector<std::uint64_t> wanted; ///< hashes of VMs of which the peer has newer updates
 };
 
 class membership {
 public:
     membership(node self, membership_timing timing, time_point now);
 
-    // Commands.
-    /// Takes what this VM now says of itself; true where it is news, which then spreads under a new
-    /// heartbeat.
+    /// Sets this VM's own information; true if it changed, and is then spread under a new heartbeat.
     bool announce(node self, time_point now);
-    /// Takes what a peer says of a VM; true where it was news. A false claim about this VM is refuted.
+    /// Applies a peer's update; true if it changed the view. A wrong update about this VM is refuted.
     bool merge(const member_update& update, time_point now);
-    /// Takes the claims that a comparison of views brought; true where any was news.
+    /// Applies the updates received in a comparison of views; true if any changed this view.
     bool merge_diff(const std::vector<member_update>& updates, time_point now);
-    /// A probe of this VM went unanswered, directly and through others.
+    /// Marks a VM suspect after its probe failed directly and through relays.
     void suspect(const std::string& vm, time_point now);
-    /// Notes which configuration a VM was seen to hold.
+    /// Records the newest configuration version that a VM is known to hold.
     void note_config(const std::string& vm, std::uint64_t newest_version);
-    /// Declares this VM left; every peer told stops giving it work at once.
+    /// Marks this VM as left; peers stop sending it work as soon as they receive the update.
     void leave(time_point now);
-    /// Ends suspicions that were not refuted in time and forgets the long dead; true where a state changed.
+    /// Declares suspects dead after the timeout and removes expired members; true if the view changed.
     bool tick(time_point now);
-    /// Moves all running suspicions by the time this process did not run.
+    /// Extends all suspicions by a pause of this process.
     void extend_suspicions(duration pause);
-    /// Updates that peers should hear, least told first, within `bytes`.
+    /// Queued updates to send, least transmitted first, within `bytes`.
     std::vector<member_update> take_updates(std::size_t bytes);
-    /// What this view says of a VM, to be told to it so that it can refute.
+    /// The update to send to a VM that is not alive in this view, so that it can refute it; at most one.
     std::vector<member_update> update_about(const std::string& vm) const;
 
-    // Queries.
     const node& self() const { return members_.at(self_vm_).seen.info; }
     std::vector<member> members() const;
     const node* find(const std::string& vm) const;
@@ -80,26 +77,26 @@
     std::vector<member_summary> summary() const;
     view_difference compare(const std::vector<member_summary>& theirs) const;
     std::vector<member_update> updates_for(const std::vector<std::uint64_t>& wanted) const;
-    /// Equal where two views hold the same statements of the living.
+    /// Equal if two views hold the same versions of all live members.
     std::uint64_t digest() const { return digest_; }
-    /// Grows with everything that members() shows.
+    /// Increases with every change of what members() returns.
     std::uint64_t generation() const { return generation_; }
     bool has_updates() const { return !updates_.empty(); }
-    /// Bytes that the smallest waiting claim needs.
+    /// Estimated bytes of the smallest queued update; 0 if there is none.
     std::size_t smallest_update() const { return updates_.smallest(); }
-    /// This VM reaches fewer than a quarter of the members that did not leave: it is more likely cut off than
-    /// alone alive.
+    /// True if fewer than a quarter of the members that have not left are alive in this view: then this VM is
+    /// more likely partitioned than the others dead.
     bool isolated() const;
     milliseconds suspicion_timeout() const;
-    /// When a VM last came back from the dead.
+    /// When a VM last changed from dead to alive.
     std::optional<time_point> last_recovery() const { return last_recovery_; }
 
 private:
     struct member_entry {
         member seen;
-        int recoveries = 0; ///< returns from the dead that still count
+        int recoveries = 0; ///< from dead to alive, less those that have decayed
         time_point last_recovery{};
-        time_point damped_until{}; ///< shown as suspect until then
+        time_point damped_until{}; ///< reported as suspect until then
         bool damped = false;
     };
     std::string self_vm_;
--- a/src/fleet/node.cpp
+++ b/src/fleet/node.cpp
@@ -5,7 +5,7 @@
 namespace vanillagauge::fleet {
 namespace {
 
-/// Tags, lengths, numbers and flags of an encoded claim and of an encoded process.
+/// Tags, lengths, numbers and flags of an encoded update and of an encoded process.
 constexpr std::size_t update_overhead = 32;
 constexpr std::size_t process_overhead = 32;
 
--- a/src/fleet/node.hpp
+++ b/src/fleet/node.hpp
@@ -1,4 +1,4 @@
-/// What a VM says of itself, and what others say of its state.
+/// The information that a VM announces, and updates about its state.
 #ifndef VANILLAGAUGE_FLEET_NODE_HPP
 #define VANILLAGAUGE_FLEET_NODE_HPP
 
@@ -10,7 +10,7 @@
 
 namespace vanillagauge::fleet {
 
-/// Where two claims name the same heartbeat, the later state in this order wins.
+/// Of two updates with the same incarnation and heartbeat the later state in this order wins.
 enum class member_state { alive, suspect, dead, left };
 
 std::string_view name(member_state state);
@@ -27,7 +27,7 @@
     friend bool operator==(const process&, const process&) = default;
 };
 
-/// What a VM's keeper says of its VM. The pair (incarnation, heartbeat) grows with each statement.
+/// What a VM's keeper announces of its VM. The pair (incarnation, heartbeat) is its version and only grows.
 struct node {
     std::string vm;
     std::string failure_domain;
@@ -37,20 +37,20 @@
     std::string operator_address;
     std::vector<process> processes;
     bool draining = false;
-    std::uint64_t config_version = 0; ///< the newest it is known to hold; not part of the statement
+    std::uint64_t config_version = 0; ///< the newest it is known to hold; not versioned
     std::string datagram_address{};
-    bool watch_failing = false; ///< its watch of the store does not work: another should watch
+    bool watch_failing = false; ///< its watch of the store fails; another VM should watch
 
     friend bool operator==(const node&, const node&) = default;
 };
 
-/// A claim about a VM. For a suspect or dead VM only the name, incarnation and heartbeat count.
+/// An update about a VM. Unless it is alive only name, incarnation and heartbeat are used.
 struct member_update {
     node info;
     member_state state = member_state::alive;
 };
 
-/// Whether the left claim supersedes the right one about the same VM.
+/// Whether `left` supersedes `right`, an update about the same VM.
 bool supersedes(const member_update& left, const member_update& right);
 
 /// An upper estimate of the encoded size in bytes.
--- a/src/fleet/rendezvous.hpp
+++ b/src/fleet/rendezvous.hpp
@@ -1,4 +1,4 @@
-/// Rendezvous hashing: each thing belongs to the member with the highest hash of both names.
+/// Rendezvous hashing: a key belongs to the member with the highest hash of member and key.
 #ifndef VANILLAGAUGE_FLEET_RENDEZVOUS_HPP
 #define VANILLAGAUGE_FLEET_RENDEZVOUS_HPP
 
@@ -7,7 +7,7 @@
 
 namespace vanillagauge::fleet {
 
-/// Members in the order in which they would own `thing`. A member that leaves moves only what it owned.
+/// The members by their rank as owner of `key`. Removing a member moves only the keys that it owned.
 std::vector<std::string> ranked_owners(const std::string& key, std::vector<std::string> members);
 
 } // namespace vanillagauge::fleet
--- a/src/fleet/update_queue.cpp
+++ b/src/fleet/update_queue.cpp
@@ -22,7 +22,7 @@
 
 std::vector<member_update> update_queue::take(std::size_t bytes, int transmit_limit)
 {
-    // Least told first: a fresh death must not wait behind claims that most of the fleet has heard.
+    // Least transmitted first: a new death must not wait behind updates that most of the fleet has received.
     std::stable_sort(queue_.begin(), queue_.end(), [](const queued& left, const queued& right) {
         return left.transmissions < right.transmissions;
     });
--- a/src/fleet/update_queue.hpp
+++ b/src/fleet/update_queue.hpp
@@ -1,4 +1,4 @@
-/// Claims that still have to be told to peers. Each rides on datagrams that are sent anyway.
+/// Updates to be sent to peers, piggybacked on datagrams that are sent anyway.
 #ifndef VANILLAGAUGE_FLEET_UPDATE_QUEUE_HPP
 #define VANILLAGAUGE_FLEET_UPDATE_QUEUE_HPP
 
@@ -10,12 +10,12 @@
 
 class update_queue {
 public:
-    /// Replaces what was queued about the same VM.
+    /// Replaces a queued update about the same VM.
     void push(member_update update);
-    /// The least told claims that fit into `bytes`; each is dropped after `most_tellings`.
+    /// The least transmitted updates that fit into `bytes`; each is dropped after `transmit_limit`.
     std::vector<member_update> take(std::size_t bytes, int transmit_limit);
     bool empty() const { return queue_.empty(); }
-    /// Estimated bytes of the smallest claim; 0 where there is none.
+    /// Estimated bytes of the smallest update; 0 if there is none.
     std::size_t smallest() const;
 
 private:
--- a/src/fleet/watchers.cpp
+++ b/src/fleet/watchers.cpp
@@ -33,8 +33,8 @@
 
 } // namespace
 
-// Each VM chooses from its own view. Where a partition splits the fleet both sides so have watchers of their
-// own; where views differ for a moment there are a few watches more or fewer, and no harm.
+// Each VM selects from its own view, so in a partition each side has watchers of its own. While views differ
+// there may be a few watches more or fewer, which is harmless.
 std::vector<std::string> choose_watchers(const std::vector<member>& members, std::size_t count)
 {
     std::map<std::string, std::string> domains;
@@ -48,7 +48,7 @@
     }
     std::vector<std::string> chosen;
     choose(ranked_owners(task, working), domains, count, chosen);
-    // One that works is enough while the others recover; only without any do the failing ones try on.
+    // One working watch is enough while the others recover; without any, the failing ones keep trying.
     if (chosen.empty()) {
         choose(ranked_owners(task, failing), domains, count, chosen);
     }
--- a/src/fleet/watchers.hpp
+++ b/src/fleet/watchers.hpp
@@ -1,4 +1,4 @@
-/// Which VMs watch the store for the whole fleet.
+/// Selects the VMs that watch the store for the whole fleet.
 #ifndef VANILLAGAUGE_FLEET_WATCHERS_HPP
 #define VANILLAGAUGE_FLEET_WATCHERS_HPP
 
@@ -9,8 +9,8 @@
 
 namespace vanillagauge::fleet {
 
-/// Up to `count` living VMs, in different failure domains as far as there are. VMs whose watch fails are
-/// taken only where no other is left.
+/// Up to `count` live VMs, in different failure domains where possible. VMs whose watch fails are selected
+/// only if there is no other.
 std::vector<std::string> choose_watchers(const std::vector<member>& members, std::size_t count);
 
 } // namespace vanillagauge::fleet
