--- a/src/claims/backup.cpp
+++ b/src/claims/backup.cpp
@@ -15,8 +15,8 @@
 record_status backup::record(const call_key& key, std::uint64_t fingerprint, std::int64_t wall_ms)
 {
     advance_clock(wall_ms);
-    // A home that was paused wakes and sends its claims late. The takeover has already told callers "not run"
-    // of every unseen key, so an acknowledgement now would make that untrue.
+    // A paused primary may resume and send its claims late. Since the takeover callers have been answered
+    // "not run" for every unseen key, so a late claim must not be acknowledged.
     if (closed(key.pair)) {
         return record_status::closed;
     }
@@ -101,8 +101,8 @@
                              std::int64_t wall_ms)
 {
     close(pair);
-    // Every key that ran was recorded here first, so a key that is unseen here is one the home refused: it
-    // needs no memory to be "not run".
+    // Every key that ran was recorded here first. A key not found here was refused by the primary and is
+    // answered "not run" without an entry.
     for (const auto& record : records) {
         if (record.key.pair == pair) {
             settle(record, wall_ms);
--- a/src/claims/backup.hpp
+++ b/src/claims/backup.hpp
@@ -1,4 +1,4 @@
-/// The backup's side of claim pairs: it records claims until it takes over, and from then on none.
+/// The backup of a claim pair: records claims until it takes over, and rejects them from then on.
 #ifndef VANILLAGAUGE_CLAIMS_BACKUP_HPP
 #define VANILLAGAUGE_CLAIMS_BACKUP_HPP
 
@@ -18,31 +18,29 @@
 public:
     explicit backup(memory_limits limits = {}) : limits_(limits) {}
 
-    // Commands.
-    /// A claim of the home. Only `recorded` lets the home dispatch; a repeat of a recorded claim is recorded.
+    /// Records a claim; the primary may dispatch only on `recorded`. A repeated claim is recorded as well.
     record_status record(const call_key& key, std::uint64_t fingerprint, std::int64_t wall_ms);
-    /// The outcome of a recorded claim; also taken after the takeover, since the home knows it ran.
+    /// Stores the outcome of a recorded claim; allowed after a takeover, since the primary knows that it ran.
     void settle(const settled_record& record, std::int64_t wall_ms);
-    /// Ends recording for the pair and for older incarnations of its home, for good.
+    /// Permanently rejects claims of the pair and of older incarnations of its primary.
     void close(const claim_pair& pair);
-    /// Closes the pair and answers from memory: unseen keys never run from now on.
+    /// Closes the pair and answers from the recorded claims; an unseen key can no longer run.
     call_reply take_over(const call_key& key, std::uint64_t fingerprint, std::int64_t wall_ms);
-    /// A stopping home's memory: the pair is closed, and its settled keys are kept until they expire.
+    /// Closes the pair and stores the settled keys of its stopping primary until they expire.
     void accept_transfer(const claim_pair& pair, const std::vector<settled_record>& records,
                          std::int64_t wall_ms);
-    /// Frees the memory of expired keys.
+    /// Removes expired keys.
     void expire(std::int64_t wall_ms);
 
-    // Queries.
     bool closed(const claim_pair& pair) const;
-    /// The answer, where the key is settled; the home need not be asked.
+    /// The answer that needs no request to the primary: of a settled key, or a conflict; otherwise empty.
     std::optional<call_reply> settled_answer(const call_key& key, std::uint64_t fingerprint) const;
     std::size_t keys() const { return keys_; }
 
 private:
     struct entry {
         std::uint64_t fingerprint = 0;
-        std::unique_ptr<outcome> answer; ///< null until the home has told it
+        std::unique_ptr<outcome> answer; ///< null until the primary has sent it
     };
     using entries = std::map<call_id, entry>;
 
@@ -50,8 +48,8 @@
     horizon horizon_;
     std::int64_t next_sweep_ms_ = 0;
     std::map<claim_pair, entries> pairs_;
-    /// By the home's VM. Incarnation numbers of a VM grow, so one number stands for every pair closed so far
-    /// and closures need no memory per pair.
+    /// The highest closed incarnation by the primary's VM. A VM's incarnation numbers only increase, so one
+    /// number covers all its closed pairs and the map does not grow with them.
     std::map<std::string, std::uint64_t> closed_through_;
     std::size_t keys_ = 0;
     std::size_t answer_bytes_ = 0;
--- a/src/claims/claims.hpp
+++ b/src/claims/claims.hpp
@@ -1,4 +1,4 @@
-/// Calls that run at most once: keys, claim pairs and their memory.
+/// At-most-once calls: keys, claim pairs and the records that they keep.
 #ifndef VANILLAGAUGE_CLAIMS_CLAIMS_HPP
 #define VANILLAGAUGE_CLAIMS_CLAIMS_HPP
 
--- a/src/claims/horizon.hpp
+++ b/src/claims/horizon.hpp
@@ -1,4 +1,4 @@
-/// The time up to which a side has forgotten keys.
+/// The expiry time up to which a process no longer keeps keys.
 #ifndef VANILLAGAUGE_CLAIMS_HORIZON_HPP
 #define VANILLAGAUGE_CLAIMS_HORIZON_HPP
 
@@ -9,9 +9,9 @@
 
 namespace vanillagauge::claims {
 
-/// A wall clock that steps back would make a forgotten key look fresh and unseen: the caller would read "not
-/// run" of a call that ran. The horizon only grows, and a key at or before it is expired for good, so each
-/// side is right about its own memory whatever its clock does and however far the two clocks differ.
+/// If the wall clock stepped back, a removed key would look valid and unseen, and the caller would be
+/// answered "not run" for a call that ran. The horizon is therefore monotonic and a key at or before it stays
+/// expired, whatever the clocks of the two processes do.
 class horizon {
 public:
     void advance(std::int64_t wall_ms) { latest_ms_ = std::max(latest_ms_, wall_ms); }
@@ -22,8 +22,8 @@
     std::int64_t latest_ms_ = std::numeric_limits<std::int64_t>::min();
 };
 
-/// A sweep visits every pair, so one for each call would make a call's cost grow with the fleet. Between
-/// sweeps the horizon alone decides what has expired; a few keys are only held in memory a little longer.
+/// A sweep visits every pair, so a sweep per call would make the cost of a call grow with the fleet. Between
+/// sweeps expiry is decided by the horizon; expired keys only stay in memory a little longer.
 constexpr std::chrono::milliseconds sweep_interval{250};
 
 } // namespace vanillagauge::claims
--- a/src/claims/key.hpp
+++ b/src/claims/key.hpp
@@ -1,4 +1,4 @@
-/// Call keys: each is minted under a pair of process incarnations that alone decide on it.
+/// Call keys: each is issued under a pair of process incarnations that alone decide on it.
 #ifndef VANILLAGAUGE_CLAIMS_KEY_HPP
 #define VANILLAGAUGE_CLAIMS_KEY_HPP
 
@@ -10,7 +10,7 @@
 
 namespace vanillagauge::claims {
 
-/// One run of a process on a VM; a restart has another incarnation.
+/// One run of a process on a VM; each restart is a new incarnation.
 struct incarnation {
     std::string vm;
     std::uint64_t number = 0;
@@ -22,7 +22,7 @@
     }
 };
 
-/// The two entry processes, in two failure domains where there are two, that decide on a key.
+/// The two entry processes that decide on a key; in different failure domains if there is more than one.
 struct claim_pair {
     incarnation primary;
     incarnation backup;
@@ -36,15 +36,14 @@
 
 struct call_key {
     claim_pair pair;
-    std::int64_t expires_ms = 0; ///< wall clock of the home
-    std::string suffix;          ///< unique per call under the pair
+    std::int64_t expires_ms = 0; ///< by the primary's wall clock
+    std::string suffix;          ///< unique per call within the pair
 };
 
-/// The text form without a suffix; a caller appends its own.
+/// A key's text form without the caller's suffix.
 std::string format_prefix(const claim_pair& pair, std::int64_t expires_ms, std::uint64_t nonce);
-/// The text form of a pair alone.
 std::string format_pair(const claim_pair& pair);
-/// `invalid_argument` where the text is no key.
+/// Fails with `invalid_argument` if the text is not a key.
 result<call_key> parse_key(const std::string& text);
 
 } // namespace vanillagauge::claims
--- a/src/claims/primary.cpp
+++ b/src/claims/primary.cpp
@@ -5,8 +5,8 @@
 namespace vanillagauge::claims {
 namespace {
 
-/// The last quarter of the memory only remembers refusals: a refusal that is forgotten could be followed by a
-/// run of the same key, when a copy of the request arrives late.
+/// The last quarter of the entries is reserved for refusals. If a refusal were not recorded, a delayed copy
+/// of the request could still run the key.
 constexpr std::size_t reserved_divisor = 4;
 
 send_reply reply_error(waiter_id waiter, const error& failure)
@@ -167,7 +167,7 @@
         for (auto item = entries.begin();
              item != entries.end() && horizon_.expired(item->first.expires_ms);) {
             if (item->second.state != phase::settled) {
-                ++item; // somebody waits for it; it goes once it is settled
+                ++item; // has waiters; removed once it is settled
                 continue;
             }
             answer_bytes_ -= answer_size(*item->second.answer);
--- a/src/claims/primary.hpp
+++ b/src/claims/primary.hpp
@@ -1,4 +1,4 @@
-/// The home's side of claim pairs: it alone dispatches, and only what the backup has recorded.
+/// The primary of a claim pair: the only process that dispatches, and only claims that the backup recorded.
 #ifndef VANILLAGAUGE_CLAIMS_PRIMARY_HPP
 #define VANILLAGAUGE_CLAIMS_PRIMARY_HPP
 
@@ -13,20 +13,20 @@
 
 namespace vanillagauge::claims {
 
-/// One waiting request, numbered by the program.
+/// Identifies one request that waits for an outcome; assigned by the program.
 using waiter_id = std::uint64_t;
 
-/// Ask the backup to record the claim; answer with `acknowledged` or `refused`.
+/// Request the backup to record the claim; then call `acknowledged` or `refused`.
 struct send_record {
     call_key key;
     std::uint64_t fingerprint = 0;
 };
-/// Run the call at a target, once; answer with `finished`.
+/// Run the call at a target, once; then call `finished`.
 struct dispatch_call {
     call_key key;
     waiter_id waiter = 0;
 };
-/// Tell the backup the outcome. Losing it costs a precise answer, never a second run.
+/// Send the outcome to the backup. If it is lost, a later answer may be "in doubt", but nothing runs twice.
 struct send_settled {
     settled_record record;
 };
@@ -34,7 +34,7 @@
     waiter_id waiter = 0;
     call_reply answer;
 };
-/// The backup closed the pair: mint further keys under another incarnation number, or every one is refused.
+/// The backup closed the pair: issue further keys under a new incarnation number, or all are refused.
 struct renew_pair {
     claim_pair pair;
 };
@@ -46,25 +46,24 @@
 public:
     explicit primary(memory_limits limits = {}) : limits_(limits) {}
 
-    // Commands.
-    /// A call whose key has this process as its home. `refused_at_once` settles an unseen key without a run.
+    /// Handles a call whose key has this process as primary. `immediate_refusal` settles an unseen key
+    /// without a run.
     primary_actions call(const call_key& key, std::uint64_t fingerprint, waiter_id waiter,
                          std::int64_t wall_ms, const std::optional<error>& immediate_refusal = {});
-    /// The backup has recorded the claim. Late and doubled acknowledgements have no effect.
+    /// The backup has recorded the claim. Late and duplicate acknowledgements have no effect.
     primary_actions acknowledged(const call_key& key, std::int64_t wall_ms);
-    /// The claim was not recorded, or nobody knows: the key will never be dispatched.
+    /// The claim was not recorded, or that is unknown: the key will never be dispatched.
     primary_actions refused(const call_key& key, refusal why);
-    /// The target's answer, or the error that stands for it.
+    /// The target's answer, or the error in its place.
     primary_actions finished(const call_key& key, const outcome& answer);
-    /// The asker's own deadline passed while it waited.
+    /// The waiter's deadline passed before the outcome was known.
     primary_actions remove_waiter(const call_key& key, waiter_id waiter);
-    /// Frees the memory of expired keys.
+    /// Removes expired keys; one that is being recorded or run stays until it is settled.
     void expire(std::int64_t wall_ms);
-    /// Takes no unseen key from now on: the first step of a planned stop.
+    /// Refuses unseen keys from now on: the first step of a planned stop.
     void freeze() { frozen_ = true; }
 
-    // Queries.
-    /// Every settled key of every pair, for the backups to keep after this process has ended.
+    /// The settled keys of all pairs, for the hand-over to the backups before this process stops.
     std::map<claim_pair, std::vector<settled_record>> settled_records() const;
     /// Keys that are being recorded or run.
     std::size_t unsettled() const;
--- a/src/claims/refusal.cpp
+++ b/src/claims/refusal.cpp
@@ -3,9 +3,9 @@
 namespace vanillagauge::claims {
 namespace {
 
-/// Long enough for membership to notice a dead process, so that the new key has a living pair.
+/// Long enough for the membership to detect a dead process, so that the new key has a live pair.
 constexpr milliseconds new_pair_delay{1000};
-/// Keys leave the memory as they expire; a flood passes in about this time.
+/// Entries are freed as keys expire; an overload recedes in about this time.
 constexpr milliseconds capacity_delay{2000};
 
 } // namespace
@@ -15,9 +15,9 @@
     using enum run_state;
     switch (why) {
     case refusal::expired:
-        return {error_code::expired_key, in_doubt, "the key has expired, whether it ran is no longer known"};
+        return {error_code::expired_key, in_doubt, "the key has expired: whether its call ran is unknown"};
     case refusal::excessive_lifetime:
-        return {error_code::invalid_argument, in_doubt, "the key expires later than any key that is minted"};
+        return {error_code::invalid_argument, in_doubt, "the key expires later than any key that is issued"};
     case refusal::other_request:
         return {error_code::conflict, not_run, "the key belongs to another request"};
     case refusal::pair_closed:
@@ -31,17 +31,18 @@
     case refusal::no_waiters:
         return {error_code::deadline_exceeded, not_run, "the deadline passed before the claim was recorded"};
     case refusal::stopping:
-        return {error_code::draining, not_run, "the home of the key is stopping: use a new key_prefix"};
+        return {error_code::draining, not_run, "the key's primary is stopping: use a new key_prefix"};
     case refusal::full:
         return {error_code::overloaded, not_run, "no room for another claim: use a new key", capacity_delay};
     case refusal::exhausted:
         return {error_code::overloaded, in_doubt, "no room for another claim", capacity_delay};
     case refusal::answer_discarded:
-        return {error_code::incomplete, ran, "the call ran, but its answer is no longer kept"};
+        return {error_code::incomplete, ran, "the call ran, but its answer is not stored"};
     case refusal::outcome_unknown:
-        return {error_code::unavailable, in_doubt, "the home was lost with the call claimed"};
+        return {error_code::unavailable, in_doubt, "the key's primary was lost after it claimed the call"};
     case refusal::pair_unavailable:
-        return {error_code::unavailable, in_doubt, "neither process of the key's pair can tell"};
+        return {error_code::unavailable, in_doubt,
+                "neither process of the key's pair knows whether the call ran"};
     case refusal::deadline_exceeded:
         return {error_code::deadline_exceeded, in_doubt, "the deadline passed before the outcome was known"};
     }
--- a/src/claims/role.hpp
+++ b/src/claims/role.hpp
@@ -1,4 +1,4 @@
-/// What one process is to a key.
+/// The role of a process in a claim pair.
 #ifndef VANILLAGAUGE_CLAIMS_ROLE_HPP
 #define VANILLAGAUGE_CLAIMS_ROLE_HPP
 
@@ -11,13 +11,13 @@
 enum class pair_role {
     primary,
     backup,
-    restarted_primary, ///< this VM's home of the key was an earlier run, whose memory is lost
-    restarted_backup,  ///< the same of the backup
+    restarted_primary, ///< the primary was an earlier run on this VM, whose records are lost
+    restarted_backup,  ///< the same for the backup
     neither,
 };
 
-/// `own` are the incarnation numbers this process has had since its start; its memory is whole for these and
-/// for no other.
+/// `own_incarnations` are the numbers that this process has had since its start; only for these are its
+/// records complete.
 pair_role role_of(const claim_pair& pair, const std::string& vm,
                   const std::set<std::uint64_t>& own_incarnations);
 
