--- a/tests/claims/interleaving_tests.cpp
+++ b/tests/claims/interleaving_tests.cpp
@@ -1,6 +1,6 @@
-// Drives the real home and backup with the events of tests/models/claims.pml in random order: lost, late,
-// doubled and crossed messages, pauses between any two steps, crashes with restart, clocks that step,
-// takeover and hand-over. What callers were told is then compared with what the target ran.
+// Drives the real primary and backup with the events of tests/models/claims.pml in random order: lost, late,
+// duplicated and reordered messages, pauses, restarts, clock steps, takeover and hand-over. The answers to
+// callers are compared with what the target ran.
 
 #include "claims/claims.hpp"
 
@@ -39,7 +39,7 @@
     std::size_t pick = 0; ///< which message, key or request
 };
 
-// RapidCheck finds it by this name to print a failing history.
+// RapidCheck requires this name to print a failing history.
 void showValue(const step& item, std::ostream& out) // NOLINT(readability-identifier-naming)
 {
     out << "{" << static_cast<int>(item.what) << "," << item.pick << "}";
@@ -116,14 +116,14 @@
     std::size_t pick_ = 0;
     waiter_id next_ = 0;
     std::map<waiter_id, std::pair<call_key, std::uint64_t>> waiters_;
-    // Sent messages are never taken out: each may arrive again at any time.
+    // Sent messages are never removed: each may arrive again at any time.
     std::vector<send_record> records_;
     std::vector<call_key> acknowledgements_;
     std::vector<call_key> refusals_;
     std::vector<settled_record> settled_;
-    std::vector<call_key> pending_dispatches_; ///< a paused home has these still before it
+    std::vector<call_key> pending_dispatches_; ///< a paused primary has not run these yet
     std::vector<call_key> running_;
-    // The truth.
+    // What really ran and was answered.
     std::map<std::string, std::uint64_t> run_by_;
     std::set<std::pair<std::string, std::uint64_t>> answered_not_run_;
     int dispatches_ = 0;
@@ -132,7 +132,7 @@
     void with(const std::vector<Item>& items, Use use)
     {
         if (!items.empty()) {
-            // A copy: the use may add to the items.
+            // A copy, since `use` may add to the items.
             use(Item(items[pick_ % items.size()]));
         }
     }
@@ -144,7 +144,7 @@
     void call_primary()
     {
         if (!primary_original_) {
-            // A later run of the home knows nothing and has the backup decide.
+            // A restarted primary has no records and lets the backup decide.
             call_backup();
             return;
         }
@@ -252,7 +252,7 @@
 
 rc::Gen<step> any_step()
 {
-    // Restarts, stops and clock steps end most of a history, so they are drawn seldom.
+    // Restarts, stops and clock steps leave little to happen in a history, so they get a low weight.
     const auto what = rc::gen::weightedElement<event>({{12, event::call_primary},
                                                        {1, event::call_backup},
                                                        {12, event::deliver_record},
--- a/tests/claims/key_tests.cpp
+++ b/tests/claims/key_tests.cpp
@@ -16,7 +16,7 @@
     EXPECT_TRUE(value(parsed).suffix.ends_with("-charge-1"));
 }
 
-TEST(call_key, refuses_text_that_is_no_key)
+TEST(call_key, rejects_malformed_text)
 {
     for (const std::string text : {"", "a", "vm~x~vm~2~3~4", "~~~~~", "vm~1~vm~2~99999999999999999999~0"}) {
         EXPECT_FALSE(ok(parse_key(text))) << text;
--- a/tests/claims/pair_tests.cpp
+++ b/tests/claims/pair_tests.cpp
@@ -35,7 +35,7 @@
     return failure(replies.at(0).answer.answer);
 }
 
-/// A home that has run one call to its answer.
+/// A primary with one settled call.
 primary settled_primary(const call_key& ran)
 {
     primary side;
@@ -45,17 +45,17 @@
     return side;
 }
 
-TEST(primary_side, dispatches_only_once_the_backup_has_recorded_the_claim)
+TEST(primary_side, dispatches_only_after_the_backup_has_recorded_the_claim)
 {
     primary side;
-    const auto asked = side.call(key("a"), charge, 1, now);
-    EXPECT_EQ(all<send_record>(asked).size(), 1U);
-    EXPECT_TRUE(all<dispatch_call>(asked).empty());
+    const auto called = side.call(key("a"), charge, 1, now);
+    EXPECT_EQ(all<send_record>(called).size(), 1U);
+    EXPECT_TRUE(all<dispatch_call>(called).empty());
     const auto recorded = side.acknowledged(key("a"), now);
     EXPECT_EQ(all<dispatch_call>(recorded).size(), 1U);
 }
 
-TEST(primary_side, a_doubled_or_crossed_acknowledgement_dispatches_nothing)
+TEST(primary_side, a_duplicate_or_mismatched_acknowledgement_dispatches_nothing)
 {
     primary side;
     side.call(key("a"), charge, 1, now);
@@ -66,7 +66,7 @@
     EXPECT_TRUE(side.acknowledged(key("a"), now).empty());
 }
 
-TEST(primary_side, a_repeat_gets_the_known_answer_without_a_run)
+TEST(primary_side, a_repeat_gets_the_stored_answer_without_a_run)
 {
     auto side = settled_primary(key("a"));
     const auto replies = all<send_reply>(side.call(key("a"), charge, 2, now));
@@ -148,7 +148,7 @@
     EXPECT_EQ(side.keys(), 0U);
 }
 
-TEST(primary_side, a_claim_that_nobody_waits_for_is_not_dispatched)
+TEST(primary_side, a_claim_without_waiters_is_not_dispatched)
 {
     primary side;
     side.call(key("a"), charge, 1, now);
@@ -156,7 +156,7 @@
     EXPECT_TRUE(all<dispatch_call>(side.acknowledged(key("a"), now)).empty());
 }
 
-TEST(primary_side, a_stopping_primary_takes_no_new_key_and_hands_over_what_it_knows)
+TEST(primary_side, a_stopping_primary_refuses_new_keys_and_hands_over_its_records)
 {
     auto side = settled_primary(key("a"));
     side.freeze();
@@ -167,7 +167,7 @@
     EXPECT_EQ(memory.at(pair).size(), 2U);
 }
 
-TEST(primary_side, a_flood_of_keys_is_refused_within_the_bound)
+TEST(primary_side, keys_beyond_the_limit_are_refused)
 {
     primary side(memory_limits{.keys = 8, .keys_per_pair = 8});
     int admitted = 0;
@@ -178,7 +178,7 @@
         EXPECT_LE(side.keys(), 8U);
     }
     EXPECT_EQ(admitted, 6);
-    // A refusal that cannot be remembered must not promise that the key never runs.
+    // A refusal that cannot be recorded must not promise that the key never runs.
     EXPECT_EQ(only_error(side.call(key("late"), charge, 99, now)).ran, run_state::in_doubt);
     for (int index = 0; index < admitted; ++index) {
         side.refused(key("k" + std::to_string(index)), refusal::backup_unreachable);
@@ -188,7 +188,7 @@
     EXPECT_EQ(all<send_record>(side.call(key("new", expiry + 1), charge, 100, expiry)).size(), 1U);
 }
 
-TEST(primary_side, an_answer_too_long_to_remember_is_delivered_and_repeats_learn_that_it_ran)
+TEST(primary_side, an_answer_too_long_to_store_is_delivered_and_repeats_report_that_it_ran)
 {
     primary side(memory_limits{.max_answer_bytes = 4});
     side.call(key("a"), charge, 1, now);
@@ -200,23 +200,23 @@
 
 TEST(backup_side, acknowledges_nothing_after_it_has_closed_the_pair)
 {
-    // A home is paused with its claim unsent, the backup takes over and tells the caller "not run"; then the
-    // home wakes and its claim arrives. An acknowledgement would let it run what the caller knows as not run.
+    // A primary is paused before it sends its claim, and the backup takes over and answers "not run". An
+    // acknowledgement of the late claim would make this answer wrong.
     backup side;
-    const auto told = side.take_over(key("a"), charge, now);
-    EXPECT_EQ(failure(told.answer).ran, run_state::not_run);
+    const auto reply = side.take_over(key("a"), charge, now);
+    EXPECT_EQ(failure(reply.answer).ran, run_state::not_run);
     EXPECT_EQ(side.record(key("a"), charge, now), record_status::closed);
 }
 
-TEST(backup_side, a_seen_claim_is_in_doubt_until_its_answer_is_told)
+TEST(backup_side, a_recorded_claim_is_in_doubt_until_its_outcome_arrives)
 {
     backup side;
     EXPECT_EQ(side.record(key("a"), charge, now), record_status::recorded);
     EXPECT_EQ(failure(side.take_over(key("a"), charge, now).answer).ran, run_state::in_doubt);
     side.settle({key("a"), charge, std::string("paid")}, now);
-    const auto told = side.take_over(key("a"), charge, now);
-    EXPECT_EQ(value(told.answer), "paid");
-    EXPECT_TRUE(told.repeated);
+    const auto reply = side.take_over(key("a"), charge, now);
+    EXPECT_EQ(value(reply.answer), "paid");
+    EXPECT_TRUE(reply.repeated);
     EXPECT_EQ(failure(side.take_over(key("a"), other_charge, now).answer).code, error_code::conflict);
 }
 
@@ -229,15 +229,15 @@
     EXPECT_EQ(side.keys(), 1U);
 }
 
-TEST(backup_side, a_forgotten_key_is_expired_and_never_unseen_even_if_the_clock_steps_back)
+TEST(backup_side, a_removed_key_stays_expired_even_if_the_clock_steps_back)
 {
     backup side;
     side.record(key("a"), charge, now);
     side.expire(expiry);
     EXPECT_EQ(side.keys(), 0U);
-    const auto told = side.take_over(key("a"), charge, now);
-    EXPECT_EQ(failure(told.answer).code, error_code::expired_key);
-    EXPECT_EQ(failure(told.answer).ran, run_state::in_doubt);
+    const auto reply = side.take_over(key("a"), charge, now);
+    EXPECT_EQ(failure(reply.answer).code, error_code::expired_key);
+    EXPECT_EQ(failure(reply.answer).ran, run_state::in_doubt);
 }
 
 TEST(backup_side, closing_covers_older_incarnations_of_the_primary_and_no_newer_one)
@@ -249,7 +249,7 @@
     EXPECT_FALSE(side.closed({{"vm-3", 7}, {"vm-2", 9}}));
 }
 
-TEST(backup_side, a_hand_over_closes_the_pair_and_brings_the_answers)
+TEST(backup_side, a_hand_over_closes_the_pair_and_stores_the_answers)
 {
     backup side;
     side.record(key("a"), charge, now);
@@ -259,7 +259,7 @@
     EXPECT_EQ(failure(side.take_over(key("b"), charge, now).answer).ran, run_state::not_run);
 }
 
-TEST(backup_side, a_full_memory_refuses_the_claim)
+TEST(backup_side, a_claim_beyond_the_limit_is_refused)
 {
     backup side(memory_limits{.keys = 2, .keys_per_pair = 2});
     side.record(key("a"), charge, now);
@@ -268,7 +268,7 @@
     EXPECT_EQ(side.keys(), 2U);
 }
 
-TEST(pair_role, a_restarted_process_is_a_stranger_to_its_older_keys)
+TEST(pair_role, a_restarted_process_loses_its_role_for_older_keys)
 {
     EXPECT_EQ(role_of(pair, "vm-1", {7}), pair_role::primary);
     EXPECT_EQ(role_of(pair, "vm-1", {8}), pair_role::restarted_primary);
--- a/tests/claims/run_guard_tests.cpp
+++ b/tests/claims/run_guard_tests.cpp
@@ -44,7 +44,7 @@
 
     const std::string& address() const { return address_; }
     int charges() const { return charges_; }
-    /// Charges that came on a connection that had served another request before.
+    /// Charges on a connection that had served another request before.
     int charges_on_used_connections() const { return charges_on_used_; }
 
 private:
@@ -60,7 +60,7 @@
     std::atomic<int> charges_{0};
     std::atomic<int> charges_on_used_{0};
     std::thread thread_;
-    std::vector<session> sessions_; ///< of the accepting thread, until it has ended
+    std::vector<session> sessions_; ///< used by the accepting thread until it has ended
 
     void serve()
     {
@@ -128,15 +128,15 @@
                                                       request(method), {});
 }
 
-// A member is charged over a connection that was used before. The target runs the charge and the connection
-// is closed before its answer. The HTTP client takes the closed connection for a stale one of its pool and
-// sends the request once more by itself, so the member is charged twice and nobody has decided on a retry.
-TEST(run_guard, the_client_alone_repeats_a_request_on_a_pooled_connection)
+// A target runs a charge and closes the reused connection without an answer. The HTTP client takes this for a
+// stale pooled connection and resends the request by itself, so the charge runs twice without a decision to
+// retry.
+TEST(run_guard, the_http_client_retries_a_request_on_a_pooled_connection)
 {
     charging_target target;
     wire::event_loop loop;
     wire::http_channel pooled(loop, target.address());
-    // The client puts a connection back some time after its answer, so a charge may find the pool empty.
+    // The client returns a connection to the pool some time after the answer, so the pool may be empty.
     int charges_before = 0;
     for (int tries = 0; tries < 200 && target.charges_on_used_connections() == 0; ++tries) {
         ASSERT_TRUE(ok(call(pooled, "warm")));
@@ -145,10 +145,10 @@
     }
     ASSERT_EQ(target.charges_on_used_connections(), 1);
     EXPECT_EQ(target.charges() - charges_before, 2)
-        << "the library has changed: weigh fresh connections again";
+        << "the HTTP client has changed: review the need for fresh connections";
 }
 
-// The same with the guard: the request has a connection of its own, and its end is an answer "in doubt".
+// With the guard the request has its own connection, and a close without an answer is "in doubt".
 TEST(run_guard, a_guarded_call_runs_once_when_its_connection_closes_before_the_answer)
 {
     charging_target target;
@@ -164,7 +164,7 @@
     }
 }
 
-TEST(run_guard, a_driver_that_tries_again_after_a_doubtful_end_is_refused_as_not_run)
+TEST(run_guard, a_retry_after_an_outcome_in_doubt_is_refused_as_not_run)
 {
     charging_target target;
     wire::event_loop loop;
@@ -177,7 +177,7 @@
     EXPECT_EQ(target.charges(), 1);
 }
 
-TEST(run_guard, a_further_attempt_is_let_through_where_the_first_provably_did_not_run)
+TEST(run_guard, a_retry_is_allowed_if_the_first_attempt_did_not_run)
 {
     charging_target target;
     wire::event_loop loop;
--- a/tests/claims/sockets_tests.cpp
+++ b/tests/claims/sockets_tests.cpp
@@ -1,4 +1,4 @@
-// Claim pairs between processes on real sockets, with a stand-in for the keeper that tells who is there.
+// Claim pairs between processes on real sockets, with a fake keeper that lists the processes.
 
 #include "entry/claim_calls.hpp"
 #include "entry/claim_peer_service.hpp"
@@ -18,7 +18,7 @@
 constexpr std::uint64_t first_incarnation = 7;
 constexpr std::uint64_t later_incarnation = 8;
 
-/// Tells every program the same list of entry processes.
+/// Returns the same list of entry processes to every program.
 class fake_keeper final : public v1::KeeperLocal {
 public:
     fake_keeper()
@@ -76,7 +76,7 @@
     return all;
 }
 
-/// What the targets ran, over all processes.
+/// Counts the runs of each key over all processes.
 struct target_log {
     std::mutex mutex;
     std::map<std::string, int> runs;
@@ -127,7 +127,7 @@
         loop_.stop();
     }
 
-    /// Waits until the process has heard of that many others.
+    /// Waits until the view of the process has that many nodes.
     void wait_for_peers(std::size_t processes) const
     {
         while (keeper_.current()->nodes.size() < processes) {
@@ -164,7 +164,7 @@
     std::string peer_address_;
 };
 
-/// Takes connections in its backlog and never answers: a connection gone silent.
+/// Accepts connections only into its backlog and never answers.
 class unresponsive_process {
 public:
     std::string address() const { return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()); }
@@ -177,14 +177,14 @@
 
 std::string key_of(const std::string& suffix)
 {
-    const claims::claim_pair pair{{"home", first_incarnation}, {"backup", first_incarnation}};
+    const claims::claim_pair pair{{"primary", first_incarnation}, {"backup", first_incarnation}};
     return claims::format_prefix(pair, wall_milliseconds() + 60000, 1) + suffix;
 }
 
 struct cluster {
     fake_keeper keeper;
     target_log log;
-    std::unique_ptr<entry_process> primary = start("home", first_incarnation);
+    std::unique_ptr<entry_process> primary = start("primary", first_incarnation);
     std::unique_ptr<entry_process> backup = start("backup", first_incarnation);
     std::unique_ptr<entry_process> third = start("third", first_incarnation);
 
@@ -210,8 +210,8 @@
     return ok(answer) ? run_state::ran : failure(answer).ran;
 }
 
-/// The home tells its backup the outcome after it has answered the caller, so a repeat may be in doubt at
-/// first.
+/// The primary sends the outcome to the backup after it has answered the caller, so a repeat may be in doubt
+/// at first.
 result<v1::CallReply> settled_repeat(entry_process& process, const std::string& key)
 {
     auto answer = process.call(key, "r2");
@@ -263,9 +263,9 @@
     }
 }
 
-// The home is lost after one call. A repeat gets the answer from the backup's memory; a key that the home
-// never claimed is "not run", and since the pair is closed it stays so.
-TEST(claims_on_sockets, with_the_primary_dead_the_backup_answers_from_memory)
+// The primary fails after one call. The backup answers a repeat from its records; a key that was never
+// claimed is "not run", and stays so since the pair is closed.
+TEST(claims_on_sockets, with_the_primary_dead_the_backup_answers_from_its_records)
 {
     cluster all;
     const auto ran = key_of("-ran");
@@ -274,7 +274,7 @@
     all.primary->stop_server();
     EXPECT_EQ(run_state_of(all.third->call(unseen)), run_state::not_run);
     EXPECT_EQ(run_state_of(settled_repeat(*all.third, ran)), run_state::ran);
-    // The home is only cut off from its peers: it still takes calls, but its claims are refused.
+    // The primary is only unreachable for its peers: it still accepts calls, but its claims are refused.
     EXPECT_EQ(run_state_of(all.primary->call(unseen)), run_state::not_run);
     EXPECT_EQ(all.log.runs_of(unseen), 0);
     EXPECT_EQ(all.log.runs_of(ran), 1);
@@ -301,15 +301,15 @@
     EXPECT_EQ(all.log.runs_of(key), 1);
 }
 
-// Connections to the backup stay open and bring nothing. The home cannot know whether its claim was recorded,
-// so it gives the key up for good and says so long before the caller's deadline.
-TEST(claims_on_sockets, with_a_silent_link_to_the_backup_a_call_is_refused_as_not_run)
+// Connections to the backup stay open without any data. The primary cannot know whether its claim was
+// recorded, so it must refuse the key for good, long before the caller's deadline.
+TEST(claims_on_sockets, with_an_unresponsive_backup_a_call_is_refused_as_not_run)
 {
     cluster all;
     const unresponsive_process unresponsive;
     all.keeper.set_entry("backup", unresponsive.address());
     const auto key = key_of("-a");
-    auto primary = all.start("home", first_incarnation);
+    auto primary = all.start("primary", first_incarnation);
     primary->wait_for_peers(all.keeper.entry_count());
     const auto answer = primary->call(key);
     ASSERT_FALSE(ok(answer));
@@ -318,14 +318,14 @@
     EXPECT_EQ(all.log.runs_of(key), 0);
 }
 
-// Connections to the home stay open and bring nothing. The backup sees no progress, takes over, and answers
-// within the caller's deadline.
-TEST(claims_on_sockets, with_a_silent_link_to_the_primary_the_backup_takes_over)
+// Connections to the primary stay open without any data. The backup must take over and answer within the
+// caller's deadline.
+TEST(claims_on_sockets, with_an_unresponsive_primary_the_backup_takes_over)
 {
     cluster all;
     const auto key = key_of("-a");
     const unresponsive_process unresponsive;
-    all.keeper.set_entry("home", unresponsive.address());
+    all.keeper.set_entry("primary", unresponsive.address());
     auto backup = all.start("backup", first_incarnation);
     backup->wait_for_peers(all.keeper.entry_count());
     const auto answer = backup->call(key);
@@ -334,13 +334,13 @@
     EXPECT_EQ(failure(answer).code, error_code::unavailable);
 }
 
-TEST(claims_on_sockets, a_restarted_primary_has_its_backup_decide_on_older_keys)
+TEST(claims_on_sockets, a_restarted_primary_lets_its_backup_decide_on_older_keys)
 {
     cluster all;
     const auto ran = key_of("-ran");
     const auto unseen = key_of("-unseen");
     ASSERT_TRUE(ok(all.primary->call(ran)));
-    all.primary = all.start("home", later_incarnation);
+    all.primary = all.start("primary", later_incarnation);
     all.primary->wait_for_peers(all.keeper.entry_count());
     EXPECT_EQ(run_state_of(all.primary->call(unseen)), run_state::not_run);
     const auto again = settled_repeat(*all.primary, ran);
@@ -354,7 +354,7 @@
     cluster all;
     const auto key = key_of("-a");
     ASSERT_TRUE(ok(all.primary->call(key)));
-    all.primary = all.start("home", later_incarnation);
+    all.primary = all.start("primary", later_incarnation);
     all.backup = all.start("backup", later_incarnation);
     all.third = all.start("third", later_incarnation);
     all.wait_for_views();
@@ -364,7 +364,7 @@
     EXPECT_EQ(all.log.runs_of(key), 1);
 }
 
-TEST(claims_on_sockets, a_planned_stop_leaves_the_answers_with_the_backup)
+TEST(claims_on_sockets, a_planned_stop_hands_the_answers_to_the_backup)
 {
     cluster all;
     const auto ran = key_of("-ran");
--- a/tests/fleet/fleet_simulation.hpp
+++ b/tests/fleet/fleet_simulation.hpp
@@ -1,4 +1,4 @@
-/// Drives the failure detectors of a whole fleet in one loop, with messages delivered one step later.
+/// Simulates the failure detectors of a whole fleet in one thread; messages arrive one step later.
 #ifndef VANILLAGAUGE_TESTS_FLEET_FLEET_SIMULATION_HPP
 #define VANILLAGAUGE_TESTS_FLEET_FLEET_SIMULATION_HPP
 
@@ -20,7 +20,7 @@
         std::unique_ptr<failure_detector> detector;
         std::vector<datagram> inbox;
         bool running = true; ///< false: dead
-        bool paused = false; ///< its datagrams wait
+        bool paused = false; ///< its datagrams are queued
         std::size_t sent_bytes = 0;
         std::size_t received_bytes = 0;
         std::size_t sent = 0;
@@ -48,7 +48,7 @@
         return "vm-" + std::string(3 - std::min<std::size_t>(3, digits.size()), '0') + digits;
     }
 
-    /// Starts, restarts or replaces a VM under this incarnation. It knows nobody.
+    /// Starts, restarts or replaces a VM under this incarnation, with an empty view.
     failure_detector& start(const std::string& vm, const std::string& domain, std::uint64_t incarnation)
     {
         node self;
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Runs until `reached` or for `most`; the time it took.
+    /// Runs until `condition` or for `timeout`; returns the simulated time.
     milliseconds run_until(const std::function<bool()>& condition, milliseconds timeout)
     {
         const auto start = now_;
@@ -86,7 +86,7 @@
         return std::chrono::duration_cast<milliseconds>(now_ - start);
     }
 
-    /// A VM takes a version of the configuration; the others pull it from whom they hear of it.
+    /// Sets a VM's configuration version; the others adopt it when a datagram mentions it.
     void set_config(machine& one, std::uint64_t version)
     {
         if (version > one.config_version) {
@@ -134,7 +134,7 @@
         return true;
     }
 
-    /// Which datagrams pass, by the names of sender and receiver.
+    /// Whether a datagram is delivered, by sender and receiver.
     std::function<bool(const std::string& from, const std::string& to)> passes =
         [](const std::string&, const std::string&) { return true; };
 
--- a/tests/fleet/lease_tests.cpp
+++ b/tests/fleet/lease_tests.cpp
@@ -10,7 +10,7 @@
 constexpr lease_timing timing{};
 const milliseconds takeover = timing.ttl + timing.clock_margin + timing.max_order_time;
 
-/// The leases as a store holds them.
+/// An in-memory store of leases.
 struct lease_store {
     std::map<std::string, lease_record> records;
     std::uint64_t revision = 0;
@@ -39,7 +39,7 @@
     }
 };
 
-TEST(lease, is_acted_on_only_after_all_who_did_not_see_it_have_lapsed)
+TEST(lease, is_effective_only_after_holders_unaware_of_it_have_expired)
 {
     lease_store store;
     lease_cycle a("a", timing);
@@ -52,9 +52,8 @@
     EXPECT_NE(a.held(now).fencing_token, 0U);
 }
 
-// A holder is paused past the end of its lease and wakes. It would act on what another owns by now; its own
-// clock tells it before it does, however long the pause.
-TEST(lease, a_paused_holder_learns_from_its_clock_that_the_lease_is_over)
+// A holder that is paused beyond the end of its lease must not act on keys that another VM owns by now.
+TEST(lease, expires_during_a_pause_of_its_holder)
 {
     lease_store store;
     lease_cycle a("a", timing);
@@ -68,9 +67,9 @@
     EXPECT_EQ(a.owner_of("job/x", now), "");
 }
 
-// The holder is paused between sending a renewal and reading its reply. The reply is good, but its age is not
-// known: counted from when it is read, the lease would outlive its term by the pause.
-TEST(lease, a_reply_read_after_a_pause_extends_nothing)
+// The holder is paused between sending a renewal and reading its reply. If the lease ran from the reading, it
+// would be too long by the pause.
+TEST(lease, a_reply_read_after_a_pause_does_not_extend_it)
 {
     lease_store store;
     lease_cycle a("a", timing);
@@ -87,7 +86,7 @@
     EXPECT_EQ(a.held(now).fencing_token, 0U);
 }
 
-TEST(lease, an_unknown_outcome_extends_nothing_and_is_tried_again_soon)
+TEST(lease, an_unknown_outcome_does_not_extend_it_and_is_retried)
 {
     lease_cycle a("a", timing);
     const time_point now{};
@@ -99,9 +98,9 @@
     EXPECT_TRUE(a.begin(now + milliseconds{1000}));
 }
 
-// A holder dies and another takes over what it owned. The dead one's late order may still arrive: it carries
-// a number that must be below every number of the new owner, though the new owner's lease is much older.
-TEST(lease, the_number_after_a_takeover_is_above_all_of_the_lapsed_holder)
+// A late order of a dead holder may arrive after the takeover. Its fencing token must be below all those of
+// the new owner, though the new owner's lease is older.
+TEST(lease, the_fencing_token_after_a_takeover_exceeds_those_of_the_expired_holder)
 {
     lease_store store;
     lease_cycle a("a", timing);
@@ -124,10 +123,11 @@
     }
     EXPECT_EQ(b.owner_of(key, now), "b");
     EXPECT_GT(b.held(now).fencing_token, last_of_a);
-    EXPECT_GE(now, a_until + timing.max_order_time) << "an order under way when the lease ended has arrived";
+    EXPECT_GE(now, a_until + timing.max_order_time)
+        << "an order in flight when the lease expired has arrived";
 }
 
-TEST(lease, ownership_of_a_dead_holder_moves_alone_and_spreads_over_the_others)
+TEST(lease, only_the_keys_of_a_dead_holder_move_and_spread_over_the_others)
 {
     lease_store store;
     std::map<std::string, lease_cycle> cycles;
@@ -164,7 +164,7 @@
     EXPECT_EQ(new_owners, (std::set<std::string>{"b", "c", "d"}));
 }
 
-TEST(lease, calls_only_those_abandoned_that_did_not_change_for_long)
+TEST(lease, is_abandoned_only_if_unchanged_for_long)
 {
     lease_store store;
     lease_cycle a("a", timing);
@@ -180,7 +180,7 @@
     EXPECT_EQ(abandoned.front().vm, "gone");
 }
 
-TEST(lease, renewals_of_the_whole_fleet_stay_below_a_fixed_rate)
+TEST(lease, renewals_of_the_fleet_stay_below_a_fixed_rate)
 {
     constexpr std::size_t members = 350;
     const auto large = lease_timing_for(members);
--- a/tests/fleet/membership_tests.cpp
+++ b/tests/fleet/membership_tests.cpp
@@ -13,7 +13,7 @@
     return fleet.at(vm).detector->view().self().failure_domain;
 }
 
-TEST(membership, suspects_and_then_buries_a_silent_vm)
+TEST(membership, suspects_a_silent_vm_before_declaring_it_dead)
 {
     fleet_simulation fleet(8);
     fleet.run(settle);
@@ -30,7 +30,7 @@
     EXPECT_EQ(fleet.seen("vm-000", "vm-004"), member_state::alive);
 }
 
-TEST(membership, takes_a_restarted_vm_back_with_its_new_incarnation)
+TEST(membership, readmits_a_restarted_vm_with_its_new_incarnation)
 {
     fleet_simulation fleet(8);
     fleet.run(settle);
@@ -43,10 +43,9 @@
     EXPECT_EQ(fleet.at("vm-005").detector->view().find("vm-003")->incarnation, 2U);
 }
 
-// A VM restarts with a clock that lies behind: its new incarnation is lower than the one its peers know. They
-// would ignore all it says and bury it while it runs. It meets the claim about its former life and states
-// itself above it.
-TEST(membership, a_restarted_vm_with_an_older_clock_is_taken_back)
+// A VM restarts with its clock set back, so its new incarnation is lower than the one in its peers' views.
+// They would ignore its updates and declare it dead unless it supersedes the former incarnation.
+TEST(membership, readmits_a_restarted_vm_whose_clock_is_behind)
 {
     fleet_simulation fleet(8);
     fleet.start("vm-003", "domain-3", 1000);
@@ -60,9 +59,9 @@
     EXPECT_TRUE(fleet.all_alive_everywhere());
 }
 
-// A VM is replaced by another at the same address. Probes meant for the old one reach the new one; if it
-// answered them the old one would live on for ever and its work with it.
-TEST(membership, a_replaced_vm_does_not_answer_for_its_predecessor)
+// A VM is replaced by another at the same address. If the new one acknowledged probes of the old one, the old
+// one would never be declared dead.
+TEST(membership, a_replacement_does_not_answer_probes_of_its_predecessor)
 {
     fleet_simulation fleet(8);
     fleet.run(settle);
@@ -76,16 +75,16 @@
     EXPECT_TRUE(successor.receive(ping, fleet.now()).empty());
     fleet.join("vm-103", "vm-000");
     fleet.run(detection_bound);
-    EXPECT_EQ(successor.view().find("vm-003"), nullptr) << "it never met its predecessor";
+    EXPECT_EQ(successor.view().find("vm-003"), nullptr) << "its predecessor is not in its view";
     for (const auto* vm : {"vm-000", "vm-001", "vm-002", "vm-004", "vm-005", "vm-006", "vm-007"}) {
         EXPECT_EQ(fleet.seen(vm, "vm-003"), member_state::dead) << vm;
         EXPECT_EQ(fleet.seen(vm, "vm-103"), member_state::alive) << vm;
     }
 }
 
-// A VM pauses for longer than a suspicion lasts. Its peers bury it; it wakes with every probe overdue. It
-// must not accuse its peers, and it must be back without anyone's help.
-TEST(membership, a_paused_vm_accuses_nobody_when_it_wakes_and_returns)
+// A VM paused for longer than the suspicion timeout is declared dead and resumes with all its probes overdue.
+// It must not suspect its peers, and must recover by itself.
+TEST(membership, a_vm_suspects_no_peer_after_a_pause_and_recovers)
 {
     fleet_simulation fleet(8);
     fleet.run(settle);
@@ -103,26 +102,26 @@
     EXPECT_TRUE(fleet.all_alive_everywhere());
 }
 
-TEST(membership, a_vm_paused_shorter_than_the_suspicion_is_never_buried)
+TEST(membership, a_pause_shorter_than_the_suspicion_timeout_causes_no_death)
 {
     fleet_simulation fleet(8);
     fleet.run(settle);
     fleet.at("vm-003").paused = true;
-    bool buried = false;
+    bool declared_dead = false;
     const auto watch = [&] {
-        buried = buried || fleet.seen("vm-000", "vm-003") == member_state::dead;
+        declared_dead = declared_dead || fleet.seen("vm-000", "vm-003") == member_state::dead;
         return false;
     };
     fleet.run_until(watch, milliseconds{1400});
     fleet.at("vm-003").paused = false;
     fleet.run_until(watch, detection_bound);
-    EXPECT_FALSE(buried);
+    EXPECT_FALSE(declared_dead);
     EXPECT_TRUE(fleet.all_alive_everywhere());
 }
 
-// A VM hears but is not heard. Nobody gets its answers, so it is buried though it refutes each claim; it gets
-// no answer to its own probes and must know that it is cut off, so that it stops offering itself to callers.
-TEST(membership, a_vm_that_hears_but_is_not_heard_is_buried_and_knows_that_it_is_isolated)
+// A VM receives but cannot send: it is declared dead although it refutes each update. It must detect that it
+// is isolated, so that it no longer offers itself to callers.
+TEST(membership, a_vm_that_cannot_send_is_declared_dead_and_detects_its_isolation)
 {
     fleet_simulation fleet(8);
     fleet.run(settle);
@@ -133,7 +132,7 @@
     EXPECT_FALSE(fleet.at("vm-000").detector->view().isolated());
 }
 
-TEST(membership, a_vm_that_is_heard_but_does_not_hear_is_buried_and_knows_that_it_is_isolated)
+TEST(membership, a_vm_that_cannot_receive_is_declared_dead_and_detects_its_isolation)
 {
     fleet_simulation fleet(8);
     fleet.run(settle);
@@ -143,29 +142,29 @@
     EXPECT_TRUE(fleet.at("vm-003").detector->view().isolated());
 }
 
-// The path between two VMs is broken while both reach all others. The two must not bury each other: the
-// others probe for them.
-TEST(membership, one_broken_path_between_two_vms_buries_neither)
+// The path between two VMs is broken while both reach all others. Indirect probes must keep the two from
+// declaring each other dead.
+TEST(membership, a_broken_path_between_two_vms_causes_no_death)
 {
     fleet_simulation fleet(8);
     fleet.run(settle);
     fleet.passes = [](const std::string& from, const std::string& to) {
         return !(from == "vm-003" && to == "vm-004") && !(from == "vm-004" && to == "vm-003");
     };
-    bool buried = false;
+    bool declared_dead = false;
     fleet.run_until(
         [&] {
-            buried = buried || fleet.seen("vm-000", "vm-003") == member_state::dead ||
-                     fleet.seen("vm-003", "vm-004") == member_state::dead;
+            declared_dead = declared_dead || fleet.seen("vm-000", "vm-003") == member_state::dead ||
+                            fleet.seen("vm-003", "vm-004") == member_state::dead;
             return false;
         },
         milliseconds{60000});
-    EXPECT_FALSE(buried);
+    EXPECT_FALSE(declared_dead);
 }
 
-// The link of a VM comes and goes. Each return would pull callers to it, each loss would cut them off. From
-// the second return on it is shown as suspect for longer and longer.
-TEST(membership, a_flapping_vm_is_held_back_and_taken_again_once_it_stays)
+// Each recovery of a flapping VM would attract callers and each loss cut them off. From the second recovery
+// on it is reported as suspect for an increasing time.
+TEST(membership, a_flapping_vm_is_damped_until_it_is_stable)
 {
     fleet_simulation fleet(8);
     fleet.run(settle);
@@ -185,9 +184,9 @@
     EXPECT_TRUE(fleet.all_see("vm-003", member_state::alive));
 }
 
-// Two regions lose each other for an hour and hold each other for dead. When the link is back nobody uses a
-// seed; both halves must find each other, and neither may bury its own side with the other's old claims.
-TEST(membership, regions_that_lost_each_other_for_an_hour_heal_without_seeds_and_without_burying_anyone)
+// After an hour's partition two regions consider each other dead. They must merge without seeds, and neither
+// may declare its own members dead because of the other's outdated updates.
+TEST(membership, regions_merge_after_a_long_partition_without_seeds_or_false_suspicions)
 {
     fleet_simulation fleet(16);
     fleet.run(settle);
@@ -200,16 +199,16 @@
     EXPECT_EQ(fleet.seen("vm-000", "vm-015"), member_state::dead);
     EXPECT_FALSE(fleet.at("vm-000").detector->view().isolated());
     cut = false;
-    bool own_side_buried = false;
+    bool false_suspicion = false;
     fleet.run_until(
         [&] {
-            own_side_buried = own_side_buried || fleet.seen("vm-000", "vm-001") != member_state::alive ||
+            false_suspicion = false_suspicion || fleet.seen("vm-000", "vm-001") != member_state::alive ||
                               fleet.seen("vm-015", "vm-014") != member_state::alive;
             return fleet.all_alive_everywhere();
         },
         milliseconds{60000});
     EXPECT_TRUE(fleet.all_alive_everywhere());
-    EXPECT_FALSE(own_side_buried);
+    EXPECT_FALSE(false_suspicion);
 }
 
 TEST(membership, a_failure_domain_gone_for_an_hour_knows_it_is_isolated_and_returns)
@@ -229,18 +228,17 @@
     EXPECT_FALSE(fleet.at("vm-001").detector->view().isolated());
 }
 
-// A VM dies while another is away, and the fleet forgets the dead one after its time. The one that returns
-// still holds it for alive and would bring it back for everyone; its own probes must end that, and no view
-// may keep it alive.
-TEST(membership, a_forgotten_vm_is_not_resurrected_by_one_that_was_away)
+// A VM dies while another is paused, and the fleet removes it. It is still alive in the view of the paused
+// VM, which must not bring it back into the other views.
+TEST(membership, a_removed_vm_is_not_readmitted_from_a_stale_view)
 {
     fleet_simulation fleet(8);
     fleet.run(settle);
     fleet.at("vm-003").paused = true;
     fleet.at("vm-004").running = false;
     fleet.run(detection_bound);
-    auto gone = fleet.at("vm-003").detector->view().find("vm-004");
-    ASSERT_NE(gone, nullptr);
+    auto removed = fleet.at("vm-003").detector->view().find("vm-004");
+    ASSERT_NE(removed, nullptr);
     fleet.machines().erase("vm-004");
     fleet.at("vm-003").paused = false;
     fleet.run(milliseconds{30000});
@@ -249,7 +247,7 @@
     }
 }
 
-TEST(membership, forgets_the_dead_after_a_day_and_takes_no_death_of_a_stranger)
+TEST(membership, removes_the_dead_after_a_day_and_ignores_deaths_of_unknown_vms)
 {
     node self;
     self.vm = "a";
@@ -267,7 +265,7 @@
     EXPECT_EQ(view.find("b"), nullptr);
 }
 
-TEST(membership, a_vm_that_leaves_is_known_to_have_left_within_a_second)
+TEST(membership, a_departure_reaches_all_members_within_a_second)
 {
     fleet_simulation fleet(8);
     fleet.run(settle);
@@ -281,8 +279,8 @@
     EXPECT_TRUE(fleet.all_see("vm-003", member_state::left));
 }
 
-// The bytes that a node sends may not grow with the fleet, nor with what happens in it: here a fifth of the
-// fleet disappears at once.
+// The bytes that a node sends must not grow with the fleet or its events: here a fifth of the fleet fails at
+// once.
 TEST(membership, a_node_sends_no_more_than_its_budget_while_a_domain_disappears)
 {
     constexpr std::size_t size = 100;
--- a/tests/fleet/rendezvous_tests.cpp
+++ b/tests/fleet/rendezvous_tests.cpp
@@ -5,7 +5,7 @@
 namespace vanillagauge::fleet {
 namespace {
 
-TEST(rendezvous, moves_only_what_the_leaving_member_owned)
+TEST(rendezvous, moves_only_the_keys_of_a_removed_member)
 {
     const std::vector<std::string> all{"a", "b", "c", "d"};
     const std::vector<std::string> fewer{"a", "b", "c"};
--- a/tests/fleet/watchers_tests.cpp
+++ b/tests/fleet/watchers_tests.cpp
@@ -20,7 +20,7 @@
     return members;
 }
 
-TEST(watchers, are_as_many_in_a_large_fleet_as_in_a_small_one_and_in_different_failure_domains)
+TEST(watchers, are_as_many_in_any_fleet_and_in_different_failure_domains)
 {
     for (const std::size_t size : {8U, 350U}) {
         const auto members = fleet_of(size, 4);
@@ -36,7 +36,7 @@
     }
 }
 
-TEST(watchers, are_replaced_where_they_die_or_their_watch_fails)
+TEST(watchers, are_replaced_if_they_die_or_their_watch_fails)
 {
     auto members = fleet_of(8, 4);
     const auto first = choose_watchers(members, 3);
@@ -50,11 +50,11 @@
     EXPECT_EQ(next.size(), 3U);
     EXPECT_EQ(std::count(next.begin(), next.end(), first[0]), 0);
     EXPECT_EQ(std::count(next.begin(), next.end(), first[1]), 0);
-    EXPECT_EQ(std::count(next.begin(), next.end(), first[2]), 1) << "who works stays";
+    EXPECT_EQ(std::count(next.begin(), next.end(), first[2]), 1) << "a working watcher is kept";
 }
 
-// The store is down: every watch fails. If nobody watched any more, nobody would notice its return.
-TEST(watchers, go_on_where_all_watches_fail)
+// The store is down and every watch fails. Without watchers its recovery would not be detected.
+TEST(watchers, are_chosen_even_if_all_watches_fail)
 {
     auto members = fleet_of(8, 4);
     for (auto& entry : members) {
