--- a/src/samples/checkpoint.cpp
+++ b/src/samples/checkpoint.cpp
@@ -16,7 +16,7 @@
     object_version_ = object_version;
 }
 
-// Another owner may have written a later step: it stands, since steps only grow.
+// Another owner may have stored a later step; steps never decrease, so the later one is kept.
 void checkpoint_writer::on_read(const std::optional<checkpoint>& stored, std::uint64_t object_version)
 {
     pending_ = false;
@@ -28,18 +28,18 @@
     }
 }
 
-// The outcome of a failed write is unknown: it may have taken effect, so its object version is stale here and
-// the next write would conflict for ever. Reading first settles it.
+// A failed write may have taken effect. The object version held here would then be outdated and each further
+// write would conflict, so the record is read first.
 void checkpoint_writer::on_failed(time_point now)
 {
     pending_ = false;
     loaded_ = false;
-    not_before_ = now + retry_delay;
+    backoff_until_ = now + retry_delay;
 }
 
 bool checkpoint_writer::begin_read(time_point now)
 {
-    if (pending_ || loaded_ || now < not_before_) {
+    if (pending_ || loaded_ || now < backoff_until_) {
         return false;
     }
     pending_ = true;
@@ -49,7 +49,7 @@
 std::optional<checkpoint_write> checkpoint_writer::begin_write(time_point now)
 {
     const bool due = loaded_ && newest_.step > (stored_ ? stored_->step : 0);
-    if (pending_ || !due || now < not_before_) {
+    if (pending_ || !due || now < backoff_until_) {
         return std::nullopt;
     }
     pending_ = true;
@@ -57,10 +57,9 @@
     return checkpoint_write{newest_, object_version_};
 }
 
-// Two cases could double a step and are refused instead. The store cannot be read: this owner may have slept
-// through a successor's steps, so its own memory proves nothing. The trainer has published since the newest
-// record: it has trained on a step whose acknowledgement nobody holds. In both, the trainer's own records
-// (`begin_step`) settle it.
+// Two cases could serve a step twice and are refused. The store cannot be read: this owner may have been
+// suspended while a successor served later steps. The trainer has published a version since the newest
+// record: it has trained on a step that it did not acknowledge. In both the trainer must state `begin_step`.
 result<std::int64_t> recovery_step(const cursor_recovery& facts)
 {
     if (facts.begin_step) {
@@ -68,8 +67,8 @@
     }
     if (!ok(facts.stored)) {
         return error{error_code::unavailable, run_state::not_run,
-                     "the checkpoint cannot be read, and without it a lost cursor could double a step; name "
-                     "begin_step or come back",
+                     "the checkpoint cannot be read, and without it a step could be served twice; set "
+                     "begin_step or retry",
                      seconds{1}};
     }
     checkpoint newest = facts.in_memory;
@@ -81,7 +80,7 @@
         return error{error_code::stale_cursor, run_state::not_run,
                      "the trainer has published version " + std::to_string(facts.trainer_version) +
                          " since the checkpoint of step " + std::to_string(newest.step) + " at version " +
-                         std::to_string(newest.trainer_version) + "; name begin_step"};
+                         std::to_string(newest.trainer_version) + "; set begin_step"};
     }
     return newest.step;
 }
--- a/src/samples/checkpoint.hpp
+++ b/src/samples/checkpoint.hpp
@@ -1,4 +1,4 @@
-/// The one record a step that serves a trainer which has lost its cursor.
+/// One stored record per step, from which a trainer that has lost its cursor is served.
 #ifndef VANILLAGAUGE_SAMPLES_CHECKPOINT_HPP
 #define VANILLAGAUGE_SAMPLES_CHECKPOINT_HPP
 
@@ -19,26 +19,26 @@
 
 struct checkpoint_write {
     checkpoint record;
-    std::uint64_t expected_version = 0; ///< of the stored object; 0: there is none
+    std::uint64_t expected_version = 0; ///< of the stored object; 0: it does not exist
 };
 
-/// Decides what is written: at most one write at a time, always the newest step, never an older one over a
-/// newer.
+/// Decides what is written: one write at a time, always the newest step, and never an older step over a
+/// newer one.
 class checkpoint_writer {
 public:
-    // Events.
+    /// Takes the record over if its step is newer.
     void advance(const checkpoint& record);
     void on_written(std::uint64_t object_version);
-    /// What is stored now: after a conflict, after a write whose outcome is unknown, or at the start.
+    /// The stored record, read at the start, after a conflict, or after a write with an unknown outcome.
     void on_read(const std::optional<checkpoint>& stored, std::uint64_t object_version);
-    /// The store did not answer; the write is tried again after `retry_pause`.
+    /// The read or write failed; after `retry_delay` the record is read again.
     void on_failed(time_point now);
 
-    // Decisions; each is to be followed by the event that answers it.
+    /// True where the record is to be read now; report the outcome to `on_read` or `on_failed`.
     bool begin_read(time_point now);
+    /// The write that is due; report its outcome to `on_written` or `on_failed`.
     std::optional<checkpoint_write> begin_write(time_point now);
 
-    // Queries.
     const checkpoint& newest() const { return newest_; }
     std::int64_t recorded_step() const { return stored_ ? stored_->step : 0; }
     bool up_to_date() const { return stored_.has_value() && *stored_ == newest_; }
@@ -49,20 +49,21 @@
     std::optional<checkpoint> stored_;
     std::optional<checkpoint> writing_;
     std::uint64_t object_version_ = 0;
-    bool loaded_ = false; ///< what the store holds has been read or written
+    bool loaded_ = false; ///< the stored object's version is known
     bool pending_ = false;
-    time_point not_before_{};
+    time_point backoff_until_{};
 };
 
-/// What a trainer without a cursor gets.
+/// The facts from which a trainer's lost cursor is recovered.
 struct cursor_recovery {
     std::uint64_t trainer_version = 0;
-    std::optional<std::int64_t> begin_step; ///< the trainer's own records name the step
-    checkpoint in_memory;                   ///< this owner's memory
+    std::optional<std::int64_t> begin_step; ///< stated by the trainer
+    checkpoint in_memory;                   ///< of this owner
     result<std::optional<checkpoint>> stored;
 };
 
-/// The step to serve from its start. An error where serving any step could double or lose one.
+/// The step to serve from its start; `unavailable` or `stale_cursor` where any step could be served twice or
+/// skipped.
 result<std::int64_t> recovery_step(const cursor_recovery& facts);
 
 } // namespace vanillagauge::samples
--- a/src/samples/cursor.cpp
+++ b/src/samples/cursor.cpp
@@ -64,7 +64,7 @@
 
 } // namespace
 
-// The form is HASH.STEP.SLOTS.BITMAP.JOB; the job comes last because its name may hold any character.
+// The format is HASH.STEP.SLOTS.BITMAP.JOB; the job comes last because its name may contain the separator.
 std::string encode_cursor(const cursor& position, const std::string& secret)
 {
     std::string body = std::to_string(position.step);
@@ -77,7 +77,7 @@
 result<cursor> decode_cursor(const std::string& text, const std::string& secret)
 {
     const error forged{error_code::forged_cursor, run_state::not_run,
-                       "expected a cursor from an earlier reply, found text whose hash does not fit"};
+                       "expected a cursor from an earlier reply, found text whose hash does not match"};
     const auto body_start = text.find(separator);
     if (body_start == std::string::npos) {
         return forged;
--- a/src/samples/cursor.hpp
+++ b/src/samples/cursor.hpp
@@ -1,5 +1,5 @@
-/// The trainer's cursor: it names the slots of the current step that the trainer has taken, and is the only
-/// ledger.
+/// The trainer's cursor: the slots of the current step that it has received. It is the only record of
+/// deliveries.
 #ifndef VANILLAGAUGE_SAMPLES_CURSOR_HPP
 #define VANILLAGAUGE_SAMPLES_CURSOR_HPP
 
@@ -19,12 +19,12 @@
     friend bool operator==(const cursor&, const cursor&) = default;
 };
 
-/// All slots of a step in one line of text, with a keyed hash over it.
+/// The cursor as text, signed with a keyed hash but not encrypted.
 std::string encode_cursor(const cursor& position, const std::string& secret);
-/// `forged_cursor` where the hash does not fit or the text is no cursor.
+/// `forged_cursor` where the hash does not match or the text is malformed.
 result<cursor> decode_cursor(const std::string& text, const std::string& secret);
 
-/// A cursor at the start of a step.
+/// The cursor of a step of which no slot has been taken.
 cursor empty_cursor(const std::string& job, std::int64_t step, std::size_t slots);
 bool complete(const cursor& position);
 
--- a/src/samples/job_state.cpp
+++ b/src/samples/job_state.cpp
@@ -46,7 +46,7 @@
 result<cursor> job_state::resolve(const cursor& presented) const
 {
     if (presented.job != shape_.job || presented.taken.size() != shape_.slots()) {
-        return stale("the cursor belongs to another job or to an earlier form of this one");
+        return stale("the cursor belongs to another job or to another number of slots");
     }
     cursor position = presented;
     if (complete(position)) {
@@ -86,16 +86,16 @@
     return ended;
 }
 
-// The cursor has moved past these steps, so no slot of theirs is ever to be delivered by this owner.
+// The cursor has moved past these steps, so this owner will deliver none of their slots.
 std::vector<attempt> job_state::close_steps_before(std::int64_t step)
 {
-    std::vector<attempt_id> past;
+    std::vector<attempt_id> outdated;
     for (const auto& [id, stream] : attempts_) {
         if (stream.slot.step < step) {
-            past.push_back(id);
+            outdated.push_back(id);
         }
     }
-    auto ended = cancel(past);
+    auto ended = cancel(outdated);
     const auto last = steps_.lower_bound(step);
     for (auto closed = steps_.begin(); closed != last; ++closed) {
         for (const auto& slot : closed->second) {
@@ -107,27 +107,26 @@
     return ended;
 }
 
-// Only the cursor says what the trainer holds. An owner that has just taken over learns here which slots its
-// predecessor delivered, and generates the others alone; a cursor that lacks a slot, whatever this owner
-// remembers of serving it, gets it again.
+// The cursor alone decides what the trainer holds. From it a new owner learns which slots its predecessor
+// delivered. A slot that the cursor lacks is delivered again even if an earlier reply contained it, because
+// that reply may have been lost.
 std::vector<attempt> job_state::acknowledge(const cursor& position)
 {
-    std::vector<attempt_id> needless;
+    std::vector<attempt_id> redundant;
     auto& slots = steps_[position.step];
     for (std::size_t index = 0; index < slots.size(); ++index) {
         slots[index].acknowledged = position.taken[index];
     }
     for (const auto& [id, stream] : attempts_) {
         if (stream.slot.step == position.step && position.taken[stream.slot.index]) {
-            needless.push_back(id);
+            redundant.push_back(id);
         }
     }
-    return cancel(needless);
+    return cancel(redundant);
 }
 
-// The trainer publishes about one version a step, so a sample of k steps ahead is pulled by a trainer k
-// versions on. What is too old for that already would be thrown away at the pull after costing all its
-// tokens.
+// The trainer publishes about one version per step, so a sample k steps ahead is pulled k versions later.
+// Ending a sample that would be too stale by then saves the rest of its tokens.
 bool job_state::fresh_at_pull(const sample_content& sample, std::int64_t step) const
 {
     const auto oldest = sample.spans.oldest();
@@ -140,14 +139,14 @@
 
 std::vector<attempt> job_state::cancel_stale()
 {
-    std::vector<attempt_id> hopeless;
+    std::vector<attempt_id> expired;
     for (const auto& [id, stream] : attempts_) {
         if (!fresh_at_pull(stream.so_far, stream.slot.step)) {
             count_wasted(stream.resumed_tokens);
-            hopeless.push_back(id);
+            expired.push_back(id);
         }
     }
-    return cancel(hopeless);
+    return cancel(expired);
 }
 
 void job_state::discard_stale()
@@ -263,7 +262,7 @@
     return true;
 }
 
-// First whole answer wins: from here no other stream can fill the slot, and the losers' tokens are the price.
+// The first complete stream fills the slot; the tokens of the others are counted as wasted.
 std::optional<sample_content> job_state::on_generated(attempt_id id, std::vector<attempt>& losers)
 {
     const auto found = attempts_.find(id);
@@ -285,8 +284,8 @@
     }
     for (const auto other : others) {
         losers.push_back(remove_attempt(other));
-        const bool winner_used_it = losers.back().resumed_tokens < found->second.resumed_tokens;
-        count_wasted(own_tokens(losers.back()) - (winner_used_it ? found->second.resumed_tokens : 0));
+        const bool winner_resumed_it = losers.back().resumed_tokens < found->second.resumed_tokens;
+        count_wasted(own_tokens(losers.back()) - (winner_resumed_it ? found->second.resumed_tokens : 0));
         ++counts_.cancelled;
     }
     return found->second.so_far;
@@ -305,7 +304,7 @@
     discard_stale();
 }
 
-// While a racing stream still runs, the slot goes on with that one.
+// If another stream of the slot is still running, the slot continues with it.
 void job_state::on_failed(attempt_id id, bool keep)
 {
     if (!attempts_.contains(id)) {
--- a/src/samples/job_state.hpp
+++ b/src/samples/job_state.hpp
@@ -1,4 +1,4 @@
-/// A job's steps at one owner: which slots are idle, running or ready, and what each event makes of them.
+/// State machine of a job at its owner: which slots of its steps are idle, running or ready.
 #ifndef VANILLAGAUGE_SAMPLES_JOB_STATE_HPP
 #define VANILLAGAUGE_SAMPLES_JOB_STATE_HPP
 
@@ -18,9 +18,9 @@
     std::size_t group_size = 1;
     std::size_t groups = 1;
     int max_staleness = 0;        ///< in weight versions, at the pull
-    int planned_staleness = 0;    ///< how old a sample of a later step may be planned to be at its pull
-    int lookahead = 0;            ///< how many steps after the trainer's are generated
-    bool full_steps_only = false; ///< deliver a step only when all of it is ready
+    int planned_staleness = 0;    ///< in versions, at the pull: the bound when a later step is started
+    int lookahead = 0;            ///< steps generated beyond the trainer's
+    bool full_steps_only = false; ///< deliver a step only when all its slots are ready
 
     std::size_t slots() const { return group_size * groups; }
 };
@@ -33,15 +33,15 @@
     slot_key slot;
     std::string engine;
     sample_content so_far;
-    int resumed_tokens = 0; ///< tokens of `so_far` that earlier attempts made
+    int resumed_tokens = 0; ///< tokens of `so_far` from earlier attempts
     time_point started;
-    time_point last_progress; ///< when its last chunk came
-    bool generated = false;   ///< whole, and with the scorer
+    time_point last_progress; ///< when the last chunk arrived
+    bool generated = false;   ///< complete, waiting for its score
 };
 
 struct candidate_slot {
     slot_key slot;
-    std::uint64_t min_version = 0; ///< an engine with older weights could not make the bound
+    std::uint64_t min_version = 0; ///< with older weights the sample would exceed the staleness bound
 };
 
 struct delivered {
@@ -58,7 +58,7 @@
 struct job_counts {
     std::int64_t delivered = 0;
     std::int64_t discarded_stale = 0;
-    std::int64_t wasted_tokens = 0; ///< generated, and never to be delivered
+    std::int64_t wasted_tokens = 0; ///< generated, but never delivered
     std::int64_t cancelled = 0;
     std::int64_t resumed = 0;
     std::int64_t raced = 0;
@@ -68,40 +68,40 @@
 public:
     explicit job_state(job_shape shape);
 
-    // Events. Those that return attempts name the streams to cancel.
-    /// A pull at this position by a trainer with these weights: the window follows, what cannot be delivered
-    /// in time ends early.
+    /// Moves the window to the position of a pull by a trainer at this weight version. Returns the streams to
+    /// cancel: of closed steps, of acknowledged slots, and too stale for delivery.
     std::vector<attempt> on_pull(const cursor& position, std::uint64_t trainer_version);
-    /// Takes what the position lacks. Judged against the version the trainer stated in this very request.
+    /// The ready samples that the position lacks and that are fresh for the version stated in this request.
     delivery collect(const cursor& position, std::uint64_t trainer_version, std::size_t max_samples);
-    /// Starts a stream at the engine; it goes on from what an earlier one left.
+    /// Starts a stream, which resumes from the partial content that an earlier one left.
     attempt begin(const slot_key& slot, const std::string& engine, time_point now);
-    /// A second stream beside the running one, from the same text.
+    /// Starts a second stream from the text that the running one has produced so far.
     std::optional<attempt> race(const slot_key& slot, const std::string& engine, time_point now);
-    /// Ends the stream so that the slot goes on elsewhere with its text and spans.
+    /// Ends the stream; the slot keeps its text and spans for the next one.
     std::optional<attempt> interrupt(attempt_id id);
-    /// False where the attempt has been cancelled: its chunk counts for nothing.
+    /// False where the attempt has been cancelled; the chunk is ignored.
     bool on_chunk(attempt_id id, const std::string& text, std::uint64_t version, int tokens, time_point now);
-    /// Its stream ended whole; what races it is to be cancelled. Empty product: it was too late itself.
+    /// The stream is complete; adds the slot's other streams, to be cancelled, to `losers`. Empty where the
+    /// attempt has been cancelled itself.
     std::optional<sample_content> on_generated(attempt_id id, std::vector<attempt>& losers);
-    /// Scored, or not to be scored: the sample is ready.
+    /// The sample is ready: scored, or not to be scored.
     void on_ready(attempt_id id, sample_content sample);
-    /// The stream broke. `keep`: what came so far is sound, and the slot resumes from it.
+    /// The stream failed. `keep`: its content is valid, and the slot resumes from it.
     void on_failed(attempt_id id, bool keep);
 
-    // Queries.
-    /// What the cursor says of this job now: `stale_cursor` for another job's, an old one, an old form.
+    /// The current position of the cursor; `stale_cursor` where it belongs to another job, to a closed step
+    /// or to another number of slots.
     result<cursor> resolve(const cursor& presented) const;
-    /// The first slot that waits for an engine, in the order of steps.
+    /// The first slot, in the order of steps, that is neither filled nor running.
     std::optional<candidate_slot> next_slot() const;
     std::vector<attempt> running() const;
     std::optional<attempt> find(attempt_id id) const;
     std::int64_t step() const { return step_; }
     std::uint64_t trainer_version() const { return trainer_version_; }
-    /// How many of the step's slots need no more work.
+    /// Slots of the step that are ready or acknowledged.
     std::size_t filled_slots(std::int64_t step) const;
     std::size_t in_flight() const { return attempts_.size(); }
-    /// Tokens a second of the streams that ended whole lately: their median; 0: none did.
+    /// Median rate of recently completed streams in tokens per second; 0: none completed.
     double median_rate() const;
     const job_counts& counts() const { return counts_; }
     const job_shape& shape() const { return shape_; }
@@ -111,8 +111,8 @@
         std::optional<sample_content> ready;
         sample_content partial; ///< what an interrupted stream left
         int streams = 0;
-        bool delivered = false;    ///< in some reply, which may have been lost
-        bool acknowledged = false; ///< by the cursor presented last
+        bool delivered = false;    ///< in a reply, which may have been lost
+        bool acknowledged = false; ///< by the latest cursor
 
         bool filled() const { return ready.has_value() || acknowledged; }
     };
@@ -124,7 +124,7 @@
     std::map<std::int64_t, step_slots> steps_;
     std::map<attempt_id, attempt> attempts_;
     attempt_id next_attempt_ = 1;
-    std::deque<double> rates_; ///< of the last streams that ended whole
+    std::deque<double> rates_; ///< of the last completed streams, in tokens per second
     job_counts counts_;
 
     void open_window();
--- a/src/samples/sample_content.hpp
+++ b/src/samples/sample_content.hpp
@@ -1,4 +1,4 @@
-/// What an engine has made for a slot so far, and where the slot lies.
+/// The content generated for a slot, partial until its stream is complete, and the slot's key.
 #ifndef VANILLAGAUGE_SAMPLES_SAMPLE_CONTENT_HPP
 #define VANILLAGAUGE_SAMPLES_SAMPLE_CONTENT_HPP
 
@@ -26,7 +26,7 @@
     std::string text;
     version_spans spans;
     double score = 0;
-    std::string unscored_reason; ///< why there is no score; empty: scored, or the job asks for none
+    std::string unscored_reason; ///< why there is no score; empty: scored, or the job has no scorer
 };
 
 } // namespace vanillagauge::samples
--- a/src/samples/samples.hpp
+++ b/src/samples/samples.hpp
@@ -1,4 +1,4 @@
-/// Samples of a job's steps: slots, the cursor that is the ledger, version labels and staleness.
+/// Samples of a job's steps: slots, cursors, weight versions and staleness.
 #ifndef VANILLAGAUGE_SAMPLES_SAMPLES_HPP
 #define VANILLAGAUGE_SAMPLES_SAMPLES_HPP
 
--- a/src/samples/stream_validator.cpp
+++ b/src/samples/stream_validator.cpp
@@ -2,9 +2,9 @@
 
 namespace vanillagauge::samples {
 
-// A late chunk of another stream on a reused connection would put foreign text, or foreign versions, into a
-// sample; the trainer would learn from a lie and nothing would show it. The request id and an unbroken
-// sequence tell every such chunk; the token count at the end tells a lost tail.
+// A late chunk of another stream on a reused connection would silently put foreign text or versions into a
+// sample. The request id and the sequence number detect such chunks; the token count at the end detects a
+// truncated stream.
 chunk_verdict stream_validator::check(const chunk_info& chunk)
 {
     if (verdict_ != chunk_verdict::accepted) {
--- a/src/samples/stream_validator.hpp
+++ b/src/samples/stream_validator.hpp
@@ -1,4 +1,4 @@
-/// Whether the chunks of an engine's stream belong to one request, in order and whole.
+/// Checks that the chunks of an engine's stream belong to one request, in sequence and without loss.
 #ifndef VANILLAGAUGE_SAMPLES_STREAM_VALIDATOR_HPP
 #define VANILLAGAUGE_SAMPLES_STREAM_VALIDATOR_HPP
 
@@ -13,7 +13,7 @@
     int tokens = 0;
     std::uint64_t version = 0;
     bool done = false;
-    int total_tokens = 0; ///< with done
+    int total_tokens = 0; ///< of the stream; valid where `done`
 };
 
 enum class chunk_verdict {
@@ -26,9 +26,9 @@
 public:
     explicit stream_validator(std::string request_id) : request_id_(std::move(request_id)) {}
 
-    /// Once a chunk was not accepted, no later one is.
+    /// After a rejected chunk all later ones get the same verdict.
     chunk_verdict check(const chunk_info& chunk);
-    /// All tokens that the engine says it made have come.
+    /// True where the stream has ended and as many tokens arrived as the engine counted.
     bool complete() const { return complete_; }
     chunk_verdict verdict() const { return verdict_; }
 
--- a/src/samples/version_spans.hpp
+++ b/src/samples/version_spans.hpp
@@ -1,4 +1,4 @@
-/// Which weight versions produced a sample, token span by token span, as the engines' streams tell it.
+/// The weight versions that produced a sample, by span of tokens.
 #ifndef VANILLAGAUGE_SAMPLES_VERSION_SPANS_HPP
 #define VANILLAGAUGE_SAMPLES_VERSION_SPANS_HPP
 
@@ -16,11 +16,11 @@
 
 class version_spans {
 public:
-    /// Adds a chunk's tokens. Version 0 is an engine's missing label: it makes the sample void for good.
+    /// Adds a chunk's tokens. Version 0 means that the engine named none; the sample is then invalid.
     void add(std::uint64_t version, int tokens);
 
     const std::vector<version_span>& spans() const { return spans_; }
-    /// 0 where nothing was added.
+    /// The oldest version; 0 where nothing was added.
     std::uint64_t oldest() const;
     int tokens() const;
     bool unversioned() const { return unversioned_; }
@@ -30,7 +30,7 @@
     bool unversioned_ = false;
 };
 
-/// True where a sample whose oldest span is `oldest` may still go to a trainer at `trainer_version`.
+/// True where a sample whose oldest version is `oldest` may be delivered to a trainer at `trainer_version`.
 bool fresh(std::uint64_t oldest, std::uint64_t trainer_version, int max_staleness);
 
 } // namespace vanillagauge::samples
--- a/tests/samples/checkpoint_tests.cpp
+++ b/tests/samples/checkpoint_tests.cpp
@@ -14,7 +14,7 @@
     return std::optional<checkpoint>(checkpoint{step, version});
 }
 
-TEST(checkpoint_writer, writes_once_a_step_and_only_the_newest)
+TEST(checkpoint_writer, writes_one_record_at_a_time_and_only_the_newest)
 {
     checkpoint_writer writer;
     ASSERT_TRUE(writer.begin_read(start));
@@ -35,8 +35,8 @@
     EXPECT_TRUE(writer.up_to_date());
 }
 
-// The write took effect and its answer was lost. A blind second try would conflict with the writer's own
-// record for ever; reading back shows that it stands.
+// The write took effect but its reply was lost: a retry without a read would conflict with the writer's own
+// record each time.
 TEST(checkpoint_writer, reads_back_after_a_write_with_an_unknown_outcome)
 {
     checkpoint_writer writer;
@@ -52,32 +52,32 @@
     EXPECT_TRUE(writer.up_to_date());
 }
 
-// An owner that was paused wakes with an old step in mind while its successor has written later ones.
+// An owner resumes after a suspension with an old step, while its successor has stored later ones.
 TEST(checkpoint_writer, never_writes_an_older_step_over_a_newer)
 {
-    checkpoint_writer woken;
-    woken.begin_read(start);
-    woken.advance({4, 5});
-    woken.on_read(checkpoint{9, 10}, 6);
-    EXPECT_FALSE(woken.begin_write(start).has_value());
-    EXPECT_EQ(woken.newest().step, 9);
+    checkpoint_writer resumed;
+    resumed.begin_read(start);
+    resumed.advance({4, 5});
+    resumed.on_read(checkpoint{9, 10}, 6);
+    EXPECT_FALSE(resumed.begin_write(start).has_value());
+    EXPECT_EQ(resumed.newest().step, 9);
 }
 
-TEST(lost_cursor, of_a_new_job_begins_at_the_first_step)
+TEST(cursor_recovery, starts_a_new_job_at_the_first_step)
 {
     const auto step = recovery_step({1, std::nullopt, {}, std::optional<checkpoint>()});
     EXPECT_EQ(value(step), 0);
 }
 
-TEST(lost_cursor, begins_at_the_newest_step_known)
+TEST(cursor_recovery, starts_at_the_newest_step_of_memory_and_store)
 {
     EXPECT_EQ(value(recovery_step({5, std::nullopt, {3, 4}, stored(4, 5)})), 4);
     EXPECT_EQ(value(recovery_step({5, std::nullopt, {6, 5}, stored(4, 4)})), 6);
 }
 
 // The trainer trained on step 4, published version 6, and lost its cursor before it acknowledged the step.
-// The checkpoint still says step 4: serving it would train on the same step twice without a sign.
-TEST(lost_cursor, after_newer_weights_than_the_checkpoint_is_refused)
+// Serving step 4 from the checkpoint would silently train on it twice.
+TEST(cursor_recovery, is_refused_where_the_trainer_is_ahead_of_the_checkpoint)
 {
     const auto refused = recovery_step({6, std::nullopt, {}, stored(4, 5)});
     ASSERT_FALSE(ok(refused));
@@ -85,9 +85,9 @@
     EXPECT_EQ(value(recovery_step({6, 5, {}, stored(4, 5)})), 5);
 }
 
-// The store is down and this owner remembers step 3, but it may have slept while a successor served later
-// steps; its memory alone would double them.
-TEST(lost_cursor, with_the_store_down_is_told_when_to_come_back)
+// The store is down, and this owner may have been suspended while a successor served steps later than the one
+// in its memory: serving from memory could deliver them twice.
+TEST(cursor_recovery, is_refused_with_a_retry_time_while_the_store_is_down)
 {
     const stored_checkpoint down{error{error_code::unavailable, run_state::not_run, "down"}};
     const auto refused = recovery_step({4, std::nullopt, {3, 4}, down});
--- a/tests/samples/job_state_tests.cpp
+++ b/tests/samples/job_state_tests.cpp
@@ -28,7 +28,7 @@
     job.on_ready(stream.id, *made);
 }
 
-/// Fills every slot of the step that waits.
+/// Fills every idle slot of the step.
 void fill(job_state& job, std::int64_t step, std::uint64_t version)
 {
     for (auto next = job.next_slot(); next && next->slot.step == step; next = job.next_slot()) {
@@ -41,7 +41,7 @@
     return empty_cursor("job", step, small_job().slots());
 }
 
-TEST(job_state, serves_each_slot_once_along_the_cursor)
+TEST(job_state, delivers_each_slot_once_as_the_cursor_advances)
 {
     job_state job(small_job());
     auto position = begin_step(0);
@@ -63,9 +63,9 @@
     EXPECT_EQ(seen.size(), 12U);
 }
 
-// The reply with the samples is lost, so the trainer presents the same cursor again. It must get the same
-// slots: others alone would lose these, and the trainer has no other way to ask for them.
-TEST(job_state, repeats_the_same_slots_for_the_same_cursor)
+// The reply with the samples is lost and the trainer presents the same cursor again: other slots in their
+// place would lose these.
+TEST(job_state, delivers_the_same_slots_again_for_the_same_cursor)
 {
     job_state job(small_job());
     job.on_pull(begin_step(0), 1);
@@ -78,7 +78,7 @@
     EXPECT_EQ(repeated.next, lost.next);
 }
 
-TEST(job_state, answers_old_and_foreign_cursors_by_type)
+TEST(job_state, refuses_outdated_and_foreign_cursors_as_stale)
 {
     job_state job(small_job());
     job.on_pull(begin_step(3), 1);
@@ -92,9 +92,9 @@
     }
 }
 
-// The owner dies after it served three of four slots. Its successor knows nothing but the cursor that the
-// trainer brings: it must generate the one slot that is missing, and no other.
-TEST(job_state, of_a_new_owner_generates_only_what_the_cursor_lacks)
+// The owner dies after it delivered three of four slots. Its successor has only the trainer's cursor and must
+// not generate the delivered slots again.
+TEST(job_state, of_a_new_owner_generates_only_the_slots_missing_from_the_cursor)
 {
     job_state successor(small_job());
     auto position = begin_step(5);
@@ -108,7 +108,7 @@
     EXPECT_FALSE(successor.next_slot().has_value());
 }
 
-TEST(job_state, judges_staleness_at_the_pull_by_the_oldest_span)
+TEST(job_state, discards_a_sample_whose_oldest_span_is_too_stale_at_the_pull)
 {
     job_state job(small_job());
     job.on_pull(begin_step(0), 4);
@@ -122,7 +122,7 @@
     EXPECT_EQ(job.counts().wasted_tokens, 8);
 }
 
-TEST(job_state, cancels_early_what_cannot_make_the_bound_and_counts_its_cost)
+TEST(job_state, cancels_a_stream_that_will_be_too_stale_and_counts_its_tokens)
 {
     job_state job(small_job(1));
     job.on_pull(begin_step(0), 3);
@@ -136,7 +136,7 @@
     EXPECT_FALSE(job.on_chunk(stream.id, "late", 2, 6, start));
 }
 
-TEST(job_state, looks_ahead_only_with_weights_that_make_the_planned_staleness)
+TEST(job_state, requires_weights_within_the_planned_staleness_for_later_steps)
 {
     auto shape = small_job(2);
     shape.planned_staleness = 1;
@@ -150,9 +150,9 @@
     EXPECT_EQ(job.next_slot()->min_version, 8U);
 }
 
-// The engine dies in the middle of a sample that had already seen one swap. The sample goes on elsewhere,
-// under newer weights: the trainer must see every version that made a part of it, or the label is a lie.
-TEST(job_state, resumes_a_broken_sample_with_its_spans)
+// The engine dies during a sample that spans a weight swap, and another engine resumes it with newer weights:
+// the sample must list every version that produced a part of it.
+TEST(job_state, keeps_the_version_spans_of_a_resumed_sample)
 {
     job_state job(small_job());
     job.on_pull(begin_step(0), 3);
@@ -169,7 +169,7 @@
     EXPECT_EQ(job.counts().wasted_tokens, 0);
 }
 
-TEST(job_state, drops_what_came_of_a_stream_that_cannot_be_trusted)
+TEST(job_state, discards_the_content_of_an_invalid_stream)
 {
     job_state job(small_job());
     job.on_pull(begin_step(0), 1);
@@ -180,7 +180,7 @@
     EXPECT_EQ(job.counts().wasted_tokens, 4);
 }
 
-TEST(job_state, takes_the_first_whole_answer_of_a_race)
+TEST(job_state, keeps_the_first_complete_stream_of_a_race)
 {
     job_state job(small_job());
     job.on_pull(begin_step(0), 1);
@@ -199,7 +199,7 @@
     EXPECT_FALSE(job.on_generated(slow.id, losers).has_value());
 }
 
-TEST(job_state, holds_a_plain_job_back_until_the_step_is_whole)
+TEST(job_state, delivers_a_plain_job_only_in_full_steps)
 {
     auto shape = small_job();
     shape.full_steps_only = true;
@@ -211,7 +211,7 @@
     EXPECT_EQ(job.collect(begin_step(0), 1, 8).samples.size(), 4U);
 }
 
-TEST(stream_validator, notices_crossed_repeated_and_unlabelled_chunks)
+TEST(stream_validator, rejects_mismatched_repeated_and_unversioned_chunks)
 {
     const chunk_info sound{"r", 0, 4, 1, false, 0};
     auto mismatched = sound;
@@ -227,7 +227,7 @@
     EXPECT_FALSE(repeated.complete());
 }
 
-TEST(stream_validator, is_whole_only_with_all_the_tokens_that_the_engine_counted)
+TEST(stream_validator, is_complete_only_with_all_tokens_counted_by_the_engine)
 {
     stream_validator full("r");
     full.check({"r", 0, 4, 1, false, 0});
--- a/tests/samples/samples_tests.cpp
+++ b/tests/samples/samples_tests.cpp
@@ -5,7 +5,7 @@
 namespace vanillagauge::samples {
 namespace {
 
-TEST(cursor, survives_sealing_for_any_job_name_and_size)
+TEST(cursor, is_decoded_unchanged_for_any_job_name_and_size)
 {
     for (const std::size_t slots : {0U, 1U, 3U, 64U, 2048U}) {
         auto position = empty_cursor("job.with.dots", 12, slots);
@@ -18,9 +18,8 @@
     }
 }
 
-// A trainer with a faulty store, or somebody else, presents a cursor that names other slots. Taking it would
-// skip samples or deliver them twice, so every changed character must be noticed.
-TEST(cursor, with_any_character_changed_is_forged)
+// A corrupted or forged cursor that passed would skip samples or deliver them twice.
+TEST(cursor, is_rejected_with_any_character_changed)
 {
     const auto sealed = encode_cursor(empty_cursor("job", 3, 8), "secret");
     for (std::size_t index = 0; index < sealed.size(); ++index) {
@@ -34,12 +33,12 @@
     EXPECT_FALSE(ok(decode_cursor("", "secret")));
 }
 
-TEST(cursor, of_a_whole_step_stays_small)
+TEST(cursor, of_a_large_step_stays_small)
 {
     EXPECT_LT(encode_cursor(empty_cursor("job", 1, 2048), "secret").size(), 1024U);
 }
 
-TEST(version_spans, keep_each_version_of_a_sample_that_saw_a_swap)
+TEST(version_spans, keep_each_version_of_a_sample_across_a_weight_swap)
 {
     version_spans seen;
     seen.add(3, 8);
@@ -50,7 +49,7 @@
     EXPECT_FALSE(seen.unversioned());
 }
 
-TEST(version_spans, with_one_unlabelled_chunk_are_void)
+TEST(version_spans, report_one_unversioned_chunk)
 {
     version_spans seen;
     seen.add(3, 8);
@@ -59,7 +58,7 @@
     EXPECT_TRUE(seen.unversioned());
 }
 
-TEST(staleness, is_judged_by_the_oldest_span)
+TEST(staleness, is_bounded_by_the_oldest_span)
 {
     EXPECT_TRUE(fresh(3, 5, 2));
     EXPECT_FALSE(fresh(2, 5, 2));
