--- a/src/rollout/checkpoint_store.cpp
+++ b/src/rollout/checkpoint_store.cpp
@@ -101,7 +101,7 @@
                                       found.record = parse(entry.spec_json());
                                       if (!found.record) {
                                           on_done(error{error_code::internal, run_state::not_run,
-                                                        "the stored checkpoint cannot be read"});
+                                                        "the stored checkpoint cannot be parsed"});
                                           return;
                                       }
                                   }
@@ -109,7 +109,7 @@
                               });
 }
 
-// A conflict and an unknown outcome are both settled by the read that follows.
+// After a conflict or an unknown outcome the writer reads the record again.
 void checkpoint_store::write(const samples::checkpoint_write& change)
 {
     v1::StoreRequest request;
--- a/src/rollout/checkpoint_store.hpp
+++ b/src/rollout/checkpoint_store.hpp
@@ -18,10 +18,10 @@
 
     checkpoint_store(const context& shared, std::string job) : context_(shared), job_(std::move(job)) {}
 
-    /// Records the step without waiting; a store that is down delays the record, never the step.
+    /// Stores the record asynchronously; a store outage delays the record, never the step.
     void advance(const samples::checkpoint& record);
     void read(read_done on_done);
-    /// Does what is due.
+    /// Starts the read or write that is due.
     void tick();
 
     std::int64_t recorded_step() const;
--- a/src/rollout/context.hpp
+++ b/src/rollout/context.hpp
@@ -9,7 +9,7 @@
 
 namespace vanillagauge::rollout {
 
-/// All members outlive whoever holds the context.
+/// All members outlive every copy of the context.
 struct context {
     const config::settings& settings;
     wire::event_loop& loop;
--- a/src/rollout/core/core.hpp
+++ b/src/rollout/core/core.hpp
@@ -1,4 +1,4 @@
-/// Pure parts of vg-rollout: how a job's spec shapes its state, and how its state looks to the policies.
+/// Side-effect-free parts of vg-rollout: from a job's spec to its state, and from its state to policy inputs.
 #ifndef VANILLAGAUGE_ROLLOUT_CORE_CORE_HPP
 #define VANILLAGAUGE_ROLLOUT_CORE_CORE_HPP
 
--- a/src/rollout/core/job_shape.cpp
+++ b/src/rollout/core/job_shape.cpp
@@ -4,9 +4,9 @@
 
 namespace vanillagauge::rollout {
 
-// The trainer publishes a version about once a step, so a step generated k steps ahead is k versions old at
-// its pull. `idle` plans up to the whole bound: the trainer finds samples ready, some of which are then too
-// old. `staleness` plans half of it, rounded up, and no more than one step ahead.
+// The trainer publishes about one version per step, so a step generated k steps ahead is k versions old at
+// its pull. `idle` avoids idle trainers: it uses the full staleness bound, and some samples expire.
+// `staleness` uses half of it, rounded up, and at most one step of lookahead.
 samples::job_shape shape_of(const config::job_spec& spec)
 {
     const bool idle = spec.preference == config::job_preference::idle;
--- a/src/rollout/core/job_shape.hpp
+++ b/src/rollout/core/job_shape.hpp
@@ -1,4 +1,4 @@
-/// How the operator's choices in a job shape its state and its weight swaps.
+/// Derives the shape of a job's state and the priority of its weight updates from the job's spec.
 #ifndef VANILLAGAUGE_ROLLOUT_CORE_JOB_SHAPE_HPP
 #define VANILLAGAUGE_ROLLOUT_CORE_JOB_SHAPE_HPP
 
--- a/src/rollout/core/step_view.hpp
+++ b/src/rollout/core/step_view.hpp
@@ -1,4 +1,4 @@
-/// The trainer's step as the straggler policy sees it.
+/// The trainer's current step as input of the straggler policy.
 #ifndef VANILLAGAUGE_ROLLOUT_CORE_STEP_VIEW_HPP
 #define VANILLAGAUGE_ROLLOUT_CORE_STEP_VIEW_HPP
 
--- a/src/rollout/engine_pool.hpp
+++ b/src/rollout/engine_pool.hpp
@@ -1,4 +1,4 @@
-/// What this process knows of each deployment's engines, and what it has in flight at each.
+/// State of each deployment's engines as seen by this process, and its streams in flight at each.
 #ifndef VANILLAGAUGE_ROLLOUT_ENGINE_POOL_HPP
 #define VANILLAGAUGE_ROLLOUT_ENGINE_POOL_HPP
 
@@ -20,25 +20,26 @@
     std::string address;
 };
 
-/// An engine's own word on itself.
+/// Reported by the engine itself.
 struct engine_report {
-    int capacity = 0; ///< 0: not told
+    int capacity = 0; ///< 0: not reported
     std::uint64_t version = 0;
 };
 
-/// One deployment's shard, under its own lock.
+/// The engines of one deployment; thread-safe.
 class engine_pool {
 public:
-    // Commands.
     void update(const config::deployment_spec& spec);
-    /// A place at an engine; give it back with `release`. `in_turn` places as the plain baseline does.
+    /// Reserves capacity at an engine until `release`; empty where none is free. `round_robin`: the placement
+    /// of plain jobs.
     std::optional<engine_endpoint> acquire(const policy::sample_view& sample, bool round_robin,
                                            time_point now);
     void release(const std::string& engine);
     void set_version(const std::string& engine, std::uint64_t version);
-    /// `asked`: when the report was asked for. One from before the last order says nothing new.
+    /// The version of a report that was requested before the last order ended is ignored as outdated.
     void on_report(const std::string& engine, const engine_report& report, time_point requested_at);
-    /// The engine or the way to it failed; it gets nothing for a while that grows with each failure in a row.
+    /// The engine or the connection to it failed; it gets no work for a backoff that grows with each
+    /// consecutive failure.
     void on_failure(const std::string& engine, time_point now);
     void on_success(const std::string& engine);
     void hold_new_work(bool hold);
@@ -46,11 +47,10 @@
     void begin_order(const std::string& engine);
     void end_order(const std::string& engine, std::optional<std::uint64_t> in_force, time_point now);
 
-    // Queries.
     config::deployment_spec spec() const;
     std::vector<policy::wave_engine> wave_view(std::uint64_t announced, time_point now) const;
     std::vector<engine_endpoint> endpoints() const;
-    /// Streams that all usable engines together may have.
+    /// Total concurrent streams of all usable engines.
     int capacity(time_point now) const;
     std::size_t free_capacity(std::uint64_t min_version, time_point now) const;
     std::optional<std::string> address(const std::string& engine) const;
@@ -58,7 +58,7 @@
 private:
     struct engine_state {
         int in_flight = 0;
-        int limit = 16; ///< until it has told its capacity
+        int limit = 16; ///< until the engine has reported its capacity
         std::uint64_t version = 0;
         int failures = 0;
         time_point backoff_until{};
@@ -81,7 +81,7 @@
 
 class engine_directory {
 public:
-    /// Takes over the engine deployments of a new view.
+    /// Replaces the pools by those of the view's engine deployments; pools that remain keep their state.
     void update(const node::view& view);
     std::shared_ptr<engine_pool> find(const std::string& deployment) const;
     std::map<std::string, std::shared_ptr<engine_pool>> all() const;
--- a/src/rollout/job_runner.cpp
+++ b/src/rollout/job_runner.cpp
@@ -41,7 +41,7 @@
     checkpoint_->tick();
 }
 
-// Jobs change seldom and pumping runs with every sample, so their specs are read once a second.
+// Job specs rarely change and streams are started with every sample, so the specs are read once per second.
 int job_runner::capacity_share(engine_pool& engines)
 {
     const auto now = steady::now();
@@ -292,7 +292,7 @@
     }
     cancel_streams(ended);
     for (const auto& pull : waiting) {
-        pull.on_done(error{error_code::draining, run_state::not_run, "the job moves to another node",
+        pull.on_done(error{error_code::draining, run_state::not_run, "the job is moving to another node",
                            milliseconds{200}});
     }
 }
--- a/src/rollout/job_runner.hpp
+++ b/src/rollout/job_runner.hpp
@@ -1,4 +1,4 @@
-/// One job at its owner: wires the job's state to engines, scorers, the checkpoint and the trainer's pulls.
+/// Runs one job at its owner: connects the job's state to engines, scorers, the checkpoint and trainer pulls.
 #ifndef VANILLAGAUGE_ROLLOUT_JOB_RUNNER_HPP
 #define VANILLAGAUGE_ROLLOUT_JOB_RUNNER_HPP
 
@@ -25,14 +25,12 @@
 
     job_runner(const context& shared, config::job_spec spec);
 
-    // Commands.
     void pull(const v1::PullRequest& request, pull_done on_done);
-    /// Cancels what is running; waiting pulls are sent elsewhere.
+    /// Cancels the running streams; waiting pulls fail with `draining` and a retry time.
     void stop();
-    /// Starts whatever an engine has room for, rescues stragglers, records the step.
+    /// Starts streams where engines have capacity, resumes or races stragglers, stores the checkpoint.
     void tick();
 
-    // Queries.
     v1::JobStatusReply status() const;
     const config::job_spec& spec() const { return spec_; }
 
@@ -57,7 +55,8 @@
 
     context context_;
     const config::job_spec spec_;
-    const std::string stream_prefix_; ///< tells this owner's streams from another's for the same sample
+    const std::string
+        stream_prefix_; ///< distinguishes this owner's streams from another owner's for the same sample
     std::shared_ptr<checkpoint_store> checkpoint_;
     mutable std::mutex mutex_;
     recorded_job job_;
@@ -65,7 +64,7 @@
     std::deque<waiting_pull> waiting_;
     std::uint64_t next_ticket_ = 0;
     bool stopped_ = false;
-    int total_weight_ = 1; ///< of all jobs at the deployment
+    int total_weight_ = 1; ///< sum over all jobs at the deployment
     time_point total_weight_due_{};
 
     void recover_cursor(const v1::PullRequest& request, const pull_options& options, pull_done on_done);
--- a/src/rollout/job_runner_pulls.cpp
+++ b/src/rollout/job_runner_pulls.cpp
@@ -1,4 +1,4 @@
-/// The trainer's side of job_runner: pulls, lost cursors, and pulls that wait.
+/// The trainer's side of job_runner: pulls, waiting pulls and the recovery of lost cursors.
 #include "rollout/job_runner.hpp"
 
 #include "rollout/core/core.hpp"
@@ -73,7 +73,7 @@
         const std::lock_guard lock(mutex_);
         const auto position = job_.state().resolve(presented);
         if (stopped_) {
-            reply = error{error_code::draining, run_state::not_run, "the job moves to another node",
+            reply = error{error_code::draining, run_state::not_run, "the job is moving to another node",
                           milliseconds{200}};
         }
         else if (!ok(position)) {
@@ -118,7 +118,7 @@
     return reply;
 }
 
-// A pull that waits at a step which another pull has closed gets its answer now; it would wait in vain.
+// A pull waiting at a step that another pull has closed fails now instead of at its timeout.
 void job_runner::serve_waiting()
 {
     std::vector<pull_result> answers;
--- a/src/rollout/main.cpp
+++ b/src/rollout/main.cpp
@@ -1,4 +1,4 @@
-/// vg-rollout: jobs, weight versions and trainers' pulls on one VM.
+/// vg-rollout: runs jobs, rolls out weight versions and serves trainer pulls on one VM.
 
 #include "node/node.hpp"
 #include "observe/observe.hpp"
--- a/src/rollout/ownership.hpp
+++ b/src/rollout/ownership.hpp
@@ -1,4 +1,4 @@
-/// Which rollout process a job, or a deployment's weights, belongs to in a view.
+/// Selects the rollout process that owns a job, or a deployment's weights, in a view.
 #ifndef VANILLAGAUGE_ROLLOUT_OWNERSHIP_HPP
 #define VANILLAGAUGE_ROLLOUT_OWNERSHIP_HPP
 
@@ -14,7 +14,7 @@
     std::string http_address;
 };
 
-/// None where no rollout process is alive.
+/// Empty where no rollout process is alive and accepts work.
 std::optional<owner> owner_of(const node::view& view, const std::string& subject);
 
 std::string job_key(const std::string& job);
--- a/src/rollout/recorded_job.hpp
+++ b/src/rollout/recorded_job.hpp
@@ -1,4 +1,4 @@
-/// A job's state whose events and answers are recorded.
+/// A job_state whose events and their results are recorded.
 #ifndef VANILLAGAUGE_ROLLOUT_RECORDED_JOB_HPP
 #define VANILLAGAUGE_ROLLOUT_RECORDED_JOB_HPP
 
@@ -12,7 +12,7 @@
 public:
     recorded_job(recorder& log, const samples::job_shape& shape);
 
-    // The events of samples::job_state.
+    // See samples::job_state.
     std::vector<samples::attempt> on_pull(const samples::cursor& position, std::uint64_t trainer_version);
     samples::delivery collect(const samples::cursor& position, std::uint64_t trainer_version,
                               std::size_t max_samples);
@@ -26,7 +26,7 @@
                                                         std::vector<samples::attempt>& losers);
     void on_ready(samples::attempt_id id, samples::sample_content sample);
     void on_failed(samples::attempt_id id, bool keep);
-    /// What the straggler policy chose; recorded where it chose anything.
+    /// Decisions of the straggler policy; recorded where there are any.
     std::vector<policy::straggler_decision> stragglers(std::size_t free_capacity, time_point now);
 
     const samples::job_state& state() const { return state_; }
--- a/src/rollout/recorder.hpp
+++ b/src/rollout/recorder.hpp
@@ -1,4 +1,4 @@
-/// Records what the pure code is fed with and what it decides, as JSON lines, for replay.
+/// Records the inputs and decisions of side-effect-free code as JSON lines, for replay.
 #ifndef VANILLAGAUGE_ROLLOUT_RECORDER_HPP
 #define VANILLAGAUGE_ROLLOUT_RECORDER_HPP
 
@@ -14,11 +14,11 @@
 
 class recorder {
 public:
-    /// An empty path records nothing.
+    /// An empty path disables recording.
     recorder(const std::string& path, std::string vm);
 
     bool enabled() const { return enabled_; }
-    /// Adds the VM and the time in microseconds; subject and event name what the pure code is to be fed with.
+    /// Adds the VM and the time in microseconds; `subject` and `event` select the input on replay.
     void write(const char* subject, const char* event, time_point now, nlohmann::json fields);
 
 private:
--- a/src/rollout/rollout_service.cpp
+++ b/src/rollout/rollout_service.cpp
@@ -14,7 +14,7 @@
     }
     const auto found = owner_of(*view, job_key(job));
     if (!found) {
-        return error{error_code::unavailable, run_state::not_run, "no rollout process is known to be alive",
+        return error{error_code::unavailable, run_state::not_run, "no rollout process is alive",
                      milliseconds{500}};
     }
     if (found->vm != context_.settings.vm) {
@@ -31,7 +31,7 @@
         slot = std::make_shared<job_runner>(context_, value(spec));
     }
     if (!slot) {
-        return error{error_code::draining, run_state::not_run, "the node stops", milliseconds{500}};
+        return error{error_code::draining, run_state::not_run, "the node is stopping", milliseconds{500}};
     }
     return slot;
 }
--- a/src/rollout/rollout_service.hpp
+++ b/src/rollout/rollout_service.hpp
@@ -1,4 +1,4 @@
-/// The trainers' service: pulls go to the job's owner, others are redirected.
+/// The service for trainers. Each job is served by its owner; other processes redirect to it.
 #ifndef VANILLAGAUGE_ROLLOUT_ROLLOUT_SERVICE_HPP
 #define VANILLAGAUGE_ROLLOUT_ROLLOUT_SERVICE_HPP
 
@@ -23,9 +23,9 @@
     void Announce(google::protobuf::RpcController* control, const v1::AnnounceRequest* request,
                   v1::AnnounceReply* reply, google::protobuf::Closure* done) override;
 
-    /// Starts and stops runners as the view says; orders weights that are due.
+    /// Stops the runners of jobs no longer owned here, ticks the others, and sends the weight orders that are
+    /// due.
     void tick();
-    /// Ends all runners.
     void stop();
 
 private:
--- a/src/rollout/sample_message.hpp
+++ b/src/rollout/sample_message.hpp
@@ -1,4 +1,4 @@
-/// Samples as the schema's messages.
+/// Converts samples to messages of the schema.
 #ifndef VANILLAGAUGE_ROLLOUT_SAMPLE_MESSAGE_HPP
 #define VANILLAGAUGE_ROLLOUT_SAMPLE_MESSAGE_HPP
 
--- a/src/rollout/scoring.cpp
+++ b/src/rollout/scoring.cpp
@@ -7,7 +7,7 @@
 
 constexpr milliseconds score_timeout{2000};
 constexpr milliseconds first_delay{50};
-/// With the pauses between them these end within nine seconds: a step is not to wait longer for a score.
+/// With their timeouts and delays these end within nine seconds, the longest that a step waits for a score.
 constexpr int max_attempts = 4;
 
 } // namespace
@@ -22,7 +22,7 @@
         slot = group->acquire(context_.settings.failure_domain, tried_);
     }
     if (!slot) {
-        retry({error_code::unavailable, run_state::not_run, "no scorer is free"});
+        retry({error_code::unavailable, run_state::not_run, "no scorer has free capacity"});
         return;
     }
     target::v1::ScoreRequest request;
@@ -49,12 +49,12 @@
         return;
     }
     tried_.insert(target);
-    retry(ok(reply) ? error{error_code::incomplete, run_state::ran, "the score is another sample's"}
+    retry(ok(reply) ? error{error_code::incomplete, run_state::ran, "the score belongs to another sample"}
                     : failure(reply));
 }
 
-// A score changes nothing at the scorer, so it may be asked for again, first of a scorer not yet tried. After
-// the last attempt the sample goes out unscored with the reason: holding it back would stall the whole step.
+// Scoring is idempotent, so it is retried, first at scorers not yet tried. After the last attempt the sample
+// is delivered unscored with the reason: holding it back would stall the step.
 void scoring::retry(const error& cause)
 {
     if (attempts_ >= max_attempts) {
--- a/src/rollout/slot_generation.cpp
+++ b/src/rollout/slot_generation.cpp
@@ -48,8 +48,8 @@
     }
 }
 
-// Closing the stream alone may leave the engine at work until it writes next; the order to cancel frees its
-// place at once.
+// After a mere close the engine might go on generating until its next write; the explicit cancel frees its
+// capacity at once.
 void slot_generation::cancel()
 {
     wire::call_cancel stop;
@@ -100,10 +100,10 @@
     span_.end();
     switch (check_.verdict()) {
     case samples::chunk_verdict::mismatched:
-        on_end_(generation_end::invalid, "a chunk of another stream came");
+        on_end_(generation_end::invalid, "received a chunk of another stream or out of sequence");
         return;
     case samples::chunk_verdict::unversioned:
-        on_end_(generation_end::invalid, "a chunk without a version label voids the sample");
+        on_end_(generation_end::invalid, "received a chunk without a weight version");
         return;
     case samples::chunk_verdict::accepted:
         break;
@@ -112,7 +112,8 @@
         on_end_(generation_end::failed, describe(failure(outcome)));
         return;
     }
-    on_end_(check_.complete() ? generation_end::complete : generation_end::failed, "the stream is not whole");
+    on_end_(check_.complete() ? generation_end::complete : generation_end::failed,
+            "the stream is incomplete");
 }
 
 } // namespace vanillagauge::rollout
--- a/src/rollout/slot_generation.hpp
+++ b/src/rollout/slot_generation.hpp
@@ -1,4 +1,4 @@
-/// One stream of an engine for one sample.
+/// One engine stream that generates one sample.
 #ifndef VANILLAGAUGE_ROLLOUT_SLOT_GENERATION_HPP
 #define VANILLAGAUGE_ROLLOUT_SLOT_GENERATION_HPP
 
@@ -16,7 +16,7 @@
 namespace vanillagauge::rollout {
 
 struct generation_request {
-    std::string request_id; ///< unlike that of any other stream, also of another owner's for the same sample
+    std::string request_id; ///< unique among all streams, also those of another owner for the same sample
     std::string prompt;
     int max_tokens = 0;
     std::string resume_text;
@@ -26,8 +26,8 @@
 
 enum class generation_end {
     complete,
-    failed,  ///< what came so far is sound
-    invalid, ///< crossed or unlabelled: nothing of it may be used
+    failed,  ///< the content received so far is valid
+    invalid, ///< mismatched or unversioned: none of the content may be used
 };
 
 class slot_generation : public std::enable_shared_from_this<slot_generation> {
@@ -39,7 +39,7 @@
                     end_handler on_end);
 
     void start(const std::string& engine_address);
-    /// Ends the stream and tells the engine; the end handler runs as `broken`.
+    /// Ends the stream and cancels the request at the engine; the end handler gets `failed`.
     void cancel();
 
 private:
--- a/src/rollout/weight_rollout.cpp
+++ b/src/rollout/weight_rollout.cpp
@@ -19,7 +19,7 @@
 constexpr milliseconds announce_interval{500};
 constexpr milliseconds announce_timeout{1000};
 
-/// The oldest version that an engine holds which is to stay.
+/// The oldest version among engines that are not leaving.
 std::uint64_t oldest_version(const std::vector<policy::wave_engine>& engines)
 {
     std::uint64_t oldest = UINT64_MAX;
@@ -123,8 +123,8 @@
     state.pending.erase(state.pending.begin(), held);
 }
 
-// The deployment's owner orders for all jobs, and a job's owner may be another process. Telling it again and
-// again also informs its successor.
+// The deployment's owner sends the orders for all jobs, and may be another process than a job's owner. The
+// announcement is repeated so that a new owner gets it too.
 void weight_rollout::forward_announcement(const std::string& deployment, const std::string& address,
                                           std::uint64_t version, policy::wave_weight weight)
 {
@@ -139,8 +139,8 @@
                                   options, [](const result<v1::AnnounceReply>&) {});
 }
 
-// A store that refuses says when to come back. One that does not answer must not keep the engines on old
-// weights: they fetch for themselves, and their own answer to the order tells whether they could.
+// A store that refuses states a retry time. One that does not answer must not keep the engines on old
+// weights: the engines fetch the weights themselves and report a failure in their reply to the order.
 void weight_rollout::fetch(const std::string& deployment, const pool& engines, const std::string& engine,
                            std::uint64_t version)
 {
@@ -177,7 +177,7 @@
         fence = deployments_[deployment].fence;
     }
     const auto address = engines->address(engine);
-    // Asked right before each order: a pause since the last check shows here.
+    // Checked right before each order, since the lease may have expired while this process was suspended.
     const auto number = fence->fencing_token();
     if (!address || !number) {
         return;
@@ -226,7 +226,7 @@
     tick();
 }
 
-// What an engine reports stands above what an order answered: one that restarts comes back with old weights.
+// An engine's report overrides the reply to an order, because a restarted engine is back on old weights.
 void weight_rollout::request_reports(const pool& engines)
 {
     for (const auto& endpoint : engines->endpoints()) {
--- a/src/rollout/weight_rollout.hpp
+++ b/src/rollout/weight_rollout.hpp
@@ -1,4 +1,4 @@
-/// Brings each deployment's engines to the newest announced weights, wave by wave.
+/// Rolling update of each deployment's engines to the newest announced weights.
 #ifndef VANILLAGAUGE_ROLLOUT_WEIGHT_ROLLOUT_HPP
 #define VANILLAGAUGE_ROLLOUT_WEIGHT_ROLLOUT_HPP
 
@@ -18,10 +18,10 @@
 public:
     explicit weight_rollout(const context& shared);
 
-    /// The version is a maximum: announcing an older one changes nothing.
+    /// Versions only increase: announcing an older one has no effect.
     void announce(const std::string& deployment, std::uint64_t version, policy::wave_weight weight);
-    /// Orders what is due here, tells the deployments' other owners what was announced here, and asks engines
-    /// how they are.
+    /// Sends the orders that are due here, forwards announcements to the owners of other deployments, and
+    /// requests the engines' reports.
     void tick();
 
 private:
@@ -29,7 +29,8 @@
         std::uint64_t announced = 0;
         policy::wave_weight weight = policy::wave_weight::staleness;
         std::shared_ptr<order_fence> fence;
-        std::map<std::uint64_t, time_point> pending; ///< announced when, and not yet held by all engines
+        std::map<std::uint64_t, time_point>
+            pending; ///< time of announcement of versions not yet loaded by all engines
     };
     using pool = std::shared_ptr<engine_pool>;
 
--- a/tests/rollout/scoring_tests.cpp
+++ b/tests/rollout/scoring_tests.cpp
@@ -14,7 +14,7 @@
 
 enum class behaviour { scores, refuses, mismatches };
 
-/// A scorer on a real socket that scores, refuses, or answers for another sample.
+/// A scorer on a real socket that scores, refuses, or returns the score of another sample.
 class scripted_scorer final : public target::v1::PlainService {
 public:
     explicit scripted_scorer(behaviour mode) : mode_(mode)
@@ -30,7 +30,7 @@
     {
         ++requests_;
         if (mode_ == behaviour::refuses) {
-            wire::from(control).fail({error_code::unavailable, run_state::not_run, "takes nothing"});
+            wire::from(control).fail({error_code::unavailable, run_state::not_run, "refuses all requests"});
         }
         reply->set_sample_id(mode_ == behaviour::mismatches ? "another" : request->sample_id());
         reply->set_score(0.5);
@@ -48,7 +48,7 @@
     std::string address_;
 };
 
-/// The parts that scoring needs, before scripted scorers. The first one is in the own domain, so it is asked
+/// The context of scoring with scripted scorers. The first one is in the local failure domain, so it is tried
 /// first.
 struct scoring_fixture {
     config::settings settings;
@@ -93,7 +93,7 @@
     }
 };
 
-TEST(scoring, asks_another_scorer_after_one_that_refuses)
+TEST(scoring, tries_another_scorer_after_a_refusal)
 {
     scoring_fixture parts({behaviour::refuses, behaviour::scores});
     const auto score = parts.score();
@@ -102,9 +102,9 @@
     EXPECT_EQ(parts.scorers.front().requests(), 1);
 }
 
-// A scorer answers late, for another sample. Taking its figure would label the sample with somebody else's
-// score, and the trainer could not tell; another scorer is asked instead.
-TEST(scoring, never_takes_the_score_of_another_sample)
+// A late reply for another sample would silently give the sample a wrong score; another scorer is tried
+// instead.
+TEST(scoring, rejects_the_score_of_another_sample)
 {
     scoring_fixture parts({behaviour::mismatches, behaviour::scores});
     const auto score = parts.score();
@@ -113,9 +113,8 @@
     EXPECT_EQ(parts.scorers.back().requests(), 1);
 }
 
-// Every scorer fails. The step must not wait for ever: after four attempts the sample goes out with the
-// reason.
-TEST(scoring, gives_up_after_a_bounded_number_of_attempts)
+// Every scorer fails: without a bound on the attempts the step would never complete.
+TEST(scoring, fails_after_a_bounded_number_of_attempts)
 {
     scoring_fixture parts({behaviour::refuses});
     const auto score = parts.score();
@@ -124,7 +123,7 @@
     EXPECT_EQ(parts.scorers.front().requests(), 4);
 }
 
-TEST(scoring, says_so_where_there_is_no_scorer)
+TEST(scoring, fails_where_there_is_no_scorer)
 {
     scoring_fixture parts({});
     EXPECT_FALSE(ok(parts.score("nobody")));
