--- a/tests/adapter/object_decoding_tests.cpp
+++ b/tests/adapter/object_decoding_tests.cpp
@@ -16,7 +16,7 @@
     R"({"Service":"s","Address":"10.0.0.1:80","Zone":"z","Slots":12,"State":"ready",
     "born":1700000000000,"Models":[{"Name":"m","Version":3,"Adapters":[]}],"Sequence":4})";
 
-TEST(to_replica, reads_what_a_replica_says_of_itself)
+TEST(to_replica, decodes_an_entry)
 {
     const auto read = to_replica(entry("i-1", good_replica));
     ASSERT_TRUE(ok(read));
@@ -26,8 +26,8 @@
     EXPECT_FALSE(value(read).draining);
 }
 
-// Another writer's entry: fields missing or of another type, an unknown state. It names no replica to use.
-TEST(to_replica, refuses_entries_that_are_not_as_expected)
+// Entries of other writers may lack fields, have other types or unknown states; none may become a target.
+TEST(to_replica, refuses_malformed_entries)
 {
     const char* const bad[] = {
         R"({})",
@@ -47,7 +47,7 @@
     }
 }
 
-TEST(to_configuration, reads_routes_services_and_limits)
+TEST(to_configuration, decodes_routes_services_and_limits)
 {
     const auto read = to_configuration(entry("main", R"({"Version":7,
         "Routes":[{"Name":"r","Host":"h","PathPrefix":"/p/","Kind":"rollout","TimeoutMs":10000,"TargetLatencyMs":500,
@@ -72,14 +72,14 @@
     EXPECT_EQ(current.limits.idle_time, milliseconds(4000));
 }
 
-TEST(to_configuration, refuses_what_it_cannot_read)
+TEST(to_configuration, refuses_malformed_entries)
 {
     EXPECT_FALSE(ok(to_configuration(entry("main", R"({"Routes":[]})"))));
     EXPECT_FALSE(ok(to_configuration(entry("main", R"({"Version":1,"Routes":[{"Name":1}],"Services":[]})"))));
     EXPECT_FALSE(ok(to_configuration(entry("main", "null"))));
 }
 
-TEST(to_version, reads_what_a_trainer_named)
+TEST(to_version, decodes_an_entry_and_refuses_malformed_ones)
 {
     const auto read = to_version(entry("m", R"({"Model":"m","Version":4})"));
     ASSERT_TRUE(ok(read));
--- a/tests/adapter/protocol_tests.cpp
+++ b/tests/adapter/protocol_tests.cpp
@@ -6,7 +6,7 @@
 namespace vanillagauge::platform {
 namespace {
 
-TEST(replica_protocol, passes_a_request_on_with_what_concerns_the_attempt)
+TEST(replica_protocol, forwards_a_request_with_attempt_fields_and_without_hop_fields)
 {
     net::http_request request;
     request.method = "POST";
@@ -33,7 +33,7 @@
     EXPECT_FALSE(sent.fields.contains("Last-Event-Id"));
 }
 
-TEST(replica_protocol, believes_not_run_only_where_the_replica_says_so)
+TEST(replica_protocol, reports_not_run_only_where_the_replica_states_it)
 {
     const replica_protocol protocol;
     net::http_fields fields;
@@ -51,7 +51,7 @@
     EXPECT_FALSE(protocol.marks(200, odd, "a").load);
 }
 
-TEST(replica_protocol, promises_not_run_only_with_certainty)
+TEST(replica_protocol, responds_with_not_run_statuses_only_where_it_is_certain)
 {
     const replica_protocol protocol;
     const auto status = [&protocol](error_code code, run_state ran) {
@@ -67,7 +67,7 @@
               "0.250");
 }
 
-TEST(to_submission, reads_a_batch_and_refuses_what_is_none)
+TEST(to_submission, parses_a_batch_and_refuses_malformed_ones)
 {
     gateway::route chosen;
     chosen.name = "r";
@@ -102,7 +102,7 @@
     }
 }
 
-TEST(to_submission, reads_the_scoring_call_of_an_item)
+TEST(to_submission, parses_the_scoring_call_of_an_item)
 {
     gateway::route chosen;
     chosen.services = {{"s", 1}};
@@ -114,7 +114,7 @@
     EXPECT_EQ(value(read).items[1].scoring, std::nullopt);
 }
 
-TEST(to_page, names_the_score_of_a_scored_result_only)
+TEST(to_page, contains_a_score_only_for_scored_results)
 {
     gateway::result_page page;
     page.total = 2;
