--- a/src/samples/job_state.cpp
+++ b/src/samples/job_state.cpp
@@ -46,7 +46,7 @@
 result<cursor> job_state::resolve(const cursor& presented) const
 {
     if (presented.job != shape_.job || presented.taken.size() != shape_.slots()) {
-        return stale("the cursor belongs to another job or to another number of slots");
+        return stale("the cursor belongs to another job or has another number of slots");
     }
     cursor position = presented;
     if (complete(position)) {
