--- a/src/rollout/job_runner.hpp
+++ b/src/rollout/job_runner.hpp
@@ -55,8 +55,8 @@
 
     context context_;
     const config::job_spec spec_;
-    const std::string
-        stream_prefix_; ///< distinguishes this owner's streams from another owner's for the same sample
+    /// Distinguishes this owner's streams from another owner's for the same sample.
+    const std::string stream_prefix_;
     std::shared_ptr<checkpoint_store> checkpoint_;
     mutable std::mutex mutex_;
     recorded_job job_;
--- a/src/rollout/weight_rollout.hpp
+++ b/src/rollout/weight_rollout.hpp
@@ -29,8 +29,8 @@
         std::uint64_t announced = 0;
         policy::wave_weight weight = policy::wave_weight::staleness;
         std::shared_ptr<order_fence> fence;
-        std::map<std::uint64_t, time_point>
-            pending; ///< time of announcement of versions not yet loaded by all engines
+        /// Announcement times of the versions that not all engines have loaded.
+        std::map<std::uint64_t, time_point> pending;
     };
     using pool = std::shared_ptr<engine_pool>;
 
--- a/src/samples/cursor.hpp
+++ b/src/samples/cursor.hpp
@@ -14,7 +14,7 @@
 struct cursor {
     std::string job;
     std::int64_t step = 0;
-    std::vector<bool> taken; ///< by slot: group * group_size + index
+    std::vector<bool> taken; ///< by slot_key::index
 
     friend bool operator==(const cursor&, const cursor&) = default;
 };
--- a/src/samples/job_state.hpp
+++ b/src/samples/job_state.hpp
@@ -89,8 +89,8 @@
     /// The stream failed. `keep`: its content is valid, and the slot resumes from it.
     void on_failed(attempt_id id, bool keep);
 
-    /// The current position of the cursor; `stale_cursor` where it belongs to another job, to a closed step
-    /// or to another number of slots.
+    /// The current position of the cursor; `stale_cursor` where it is of another job or a closed step, or has
+    /// another number of slots.
     result<cursor> resolve(const cursor& presented) const;
     /// The first slot, in the order of steps, that is neither filled nor running.
     std::optional<candidate_slot> next_slot() const;
--- a/src/samples/sample_content.hpp
+++ b/src/samples/sample_content.hpp
@@ -13,7 +13,7 @@
 
 struct slot_key {
     std::int64_t step = 0;
-    std::size_t index = 0; ///< group * group_size + index
+    std::size_t index = 0; ///< group * group_size + index in the group
 
     friend bool operator==(const slot_key&, const slot_key&) = default;
     friend bool operator<(const slot_key& left, const slot_key& right)
