--- a/src/samples/sample_content.hpp
+++ b/src/samples/sample_content.hpp
@@ -1,4 +1,4 @@
-/// What an engine has made for a slot so far, and where the slot lies.
+/// The content generated for a slot, partial until its stream is complete, and the slot's key.
 #ifndef VANILLAGAUGE_SAMPLES_SAMPLE_CONTENT_HPP
 #define VANILLAGAUGE_SAMPLES_SAMPLE_CONTENT_HPP
 
@@ -13,7 +13,7 @@
 
 struct slot_key {
     std::int64_t step = 0;
-    std::size_t index = 0; ///< group * group_size + index
+    std::size_t index = 0; ///< group * group_size + index in the group
 
     friend bool operator==(const slot_key&, const slot_key&) = default;
     friend bool operator<(const slot_key& left, const slot_key& right)
@@ -26,7 +26,7 @@
     std::string text;
     version_spans spans;
     double score = 0;
-    std::string unscored_reason; ///< why there is no score; empty: scored, or the job asks for none
+    std::string unscored_reason; ///< why there is no score; empty: scored, or the job has no scorer
 };
 
 } // namespace vanillagauge::samples
