--- a/src/policy/straggler.cpp
+++ b/src/policy/straggler.cpp
@@ -28,7 +28,7 @@
 // by a copy that continues its text so far, and the first to complete wins: cancelling it would lose if the
 // second engine is slower still. A sample that is merely long gains nothing on another engine, so only a rate
 // below half of the median counts: closer to it, the copy seldom catches up and its tokens are wasted. Racing
-// waits until late in the step, when engines have free capacity.
+// starts after half of the step, when engines have free capacity.
 std::vector<straggler_decision> find_stragglers(const step_view& step)
 {
     std::vector<straggler_decision> chosen;
