--- a/src/gateway/batch_progress.cpp
+++ b/src/gateway/batch_progress.cpp
@@ -135,8 +135,8 @@
 std::optional<saved_text> batch_progress::text_to_save(std::size_t index) const
 {
     const auto& entry = items_[index];
-    const bool made = entry.events > 0 && entry.state != work_state::published;
-    if (!made || (entry.state == work_state::finished && entry.result.state == item_state::terminated)) {
+    const bool has_text = entry.events > 0 && entry.state != work_state::published;
+    if (!has_text || (entry.state == work_state::finished && entry.result.state == item_state::terminated)) {
         return std::nullopt;
     }
     const bool finished = entry.state == work_state::finished;
--- a/src/gateway/batch_runner.cpp
+++ b/src/gateway/batch_runner.cpp
@@ -202,11 +202,11 @@
 
 net::task<void> batch_runner::write_texts(batch_run_ref batch)
 {
-    const auto made = steady::now();
+    const auto generated_at = steady::now();
     auto texts = texts_to_save(batch->progress);
     const auto count = static_cast<std::int64_t>(texts.size());
     const auto saved = co_await batch->texts.save(std::move(texts));
-    batch->texts_saved_at = made;
+    batch->texts_saved_at = generated_at;
     batch->saving_texts = false;
     observe::log(ok(saved) ? observe::log_level::info : observe::log_level::warning, "texts_kept",
                  {{"batch", batch->progress.header().id},
@@ -266,8 +266,9 @@
             progress.unpublished_results() + progress.published() >= progress.header().total;
         const bool due =
             progress.has_complete_group() || complete || now - batch->first_unpublished >= publish_delay;
-        const bool rested = now - batch->last_publish >= publish_interval || complete;
-        if (batch->stored && !batch->publishing && progress.unpublished_results() > 0 && due && rested) {
+        const bool interval_over = now - batch->last_publish >= publish_interval || complete;
+        if (batch->stored && !batch->publishing && progress.unpublished_results() > 0 && due &&
+            interval_over) {
             batch->publishing = true;
             batch->last_publish = now;
             net::start(loop_, publish_results(batch));
--- a/src/gateway/batch_runner_items.cpp
+++ b/src/gateway/batch_runner_items.cpp
@@ -116,11 +116,11 @@
     int internal_errors = 0;
     int calls = 0;
     while (!batch->ended && entry.state == work_state::scoring) {
-        const auto ticket = std::make_shared<cancellation_token>();
-        batch->scoring_calls[index] = ticket;
+        const auto cancellation = std::make_shared<cancellation_token>();
+        batch->scoring_calls[index] = cancellation;
         const bool last = progress.open_in_group(index) <= 1;
         const auto urgency = last ? policy::priority::gate : policy::priority::member;
-        const auto outcome = co_await scorer_.score(*entry.item.scoring, urgency, ticket);
+        const auto outcome = co_await scorer_.score(*entry.item.scoring, urgency, cancellation);
         batch->scoring_calls.erase(index);
         ++calls;
         internal_errors += outcome.internal_errors;
--- a/src/gateway/batch_service_speculative.cpp
+++ b/src/gateway/batch_service_speculative.cpp
@@ -81,9 +81,9 @@
     if (!owner) {
         co_return false;
     }
-    json question{{"id", batch}};
-    const auto reply = co_await store_.call_peer(owner->relay_address, speculative_path, std::move(question),
-                                           steady::now() + query_timeout);
+    json body{{"id", batch}};
+    const auto reply = co_await store_.call_peer(owner->relay_address, speculative_path, std::move(body),
+                                                 steady::now() + query_timeout);
     co_return !ok(reply) || member_or_null(value(reply), "runs") != json(false);
 }
 
@@ -97,11 +97,11 @@
         run_speculative(current->submission);
         co_return;
     }
-    json question{{"id", header.id},
-                  {"header", to_json(header)},
-                  {"parts", to_parts(current->submission.items, max_part_bytes)}};
-    const auto reply = co_await store_.call_peer(owner->relay_address, speculative_path, std::move(question),
-                                           steady::now() + speculation_call_timeout);
+    json body{{"id", header.id},
+              {"header", to_json(header)},
+              {"parts", to_parts(current->submission.items, max_part_bytes)}};
+    const auto reply = co_await store_.call_peer(owner->relay_address, speculative_path, std::move(body),
+                                                 steady::now() + speculation_call_timeout);
     if (ok(reply) && !current->storing_header) {
         header.owner_vm = owner->vm;
         header.owner_incarnation = owner->incarnation;
@@ -115,14 +115,14 @@
 net::http_response batch_service::serve_speculative(const net::http_request& request)
 {
     net::http_response response;
-    const auto question = json::parse(request.body, nullptr, false);
-    const auto batch = string_or_empty(question, "id");
-    if (member_or_null(question, "header").is_null() && !batch.empty()) {
+    const auto body = json::parse(request.body, nullptr, false);
+    const auto batch = string_or_empty(body, "id");
+    if (member_or_null(body, "header").is_null() && !batch.empty()) {
         response.body = json{{"runs", speculative_until_.contains(batch)}}.dump();
         return response;
     }
     response.body = "{}";
-    auto read = submission_from_json(question);
+    auto read = submission_from_json(body);
     if (!ok(read)) {
         observe::log(observe::log_level::warning, "ahead_call_refused", {{"why", describe(failure(read))}});
         response.status = 400;
@@ -163,8 +163,8 @@
     current->submission = std::move(submission);
     while (!headers_.objects().contains(id) && steady::now() < std::min(last, speculative_until_[id])) {
         // A short check detects a recovered store sooner than a hanging write.
-        const auto back = co_await store_.ping(batch_kind, store_check_timeout);
-        if (!ok(back)) {
+        const auto reachable = co_await store_.ping(batch_kind, store_check_timeout);
+        if (!ok(reachable)) {
             co_await net::sleep_for(loop_, retry_interval);
             continue;
         }
--- a/src/gateway/batch_texts.cpp
+++ b/src/gateway/batch_texts.cpp
@@ -79,13 +79,13 @@
     const error unreadable{error_code::invalid_argument, run_state::not_run,
                            "cannot decode the saved texts of a batch"};
     return decode<std::vector<saved_text>>(value, unreadable,
-                                            [](const json& from) -> result<std::vector<saved_text>> {
-                                                std::vector<saved_text> texts;
-                                                for (const auto& entry : from.at("texts")) {
-                                                    texts.push_back(text_from_json(entry));
-                                                }
-                                                return texts;
-                                            });
+                                           [](const json& from) -> result<std::vector<saved_text>> {
+                                               std::vector<saved_text> texts;
+                                               for (const auto& entry : from.at("texts")) {
+                                                   texts.push_back(text_from_json(entry));
+                                               }
+                                               return texts;
+                                           });
 }
 
 net::task_of<done> text_store::save(std::vector<saved_text> texts)
--- a/src/gateway/internal/batch_run.hpp
+++ b/src/gateway/internal/batch_run.hpp
@@ -24,7 +24,7 @@
 
     batch_progress progress;
     net::signal changed;
-    std::map<std::size_t, std::shared_ptr<item_run>> item_runs;        ///< by item index
+    std::map<std::size_t, std::shared_ptr<item_run>> item_runs;               ///< by item index
     std::map<std::size_t, std::shared_ptr<cancellation_token>> scoring_calls; ///< by item index
     bool stored = true; ///< false while the batch is speculative
     bool ended = false;
@@ -38,8 +38,8 @@
 
     void cancel_work()
     {
-        for (auto& [index, ticket] : scoring_calls) {
-            ticket->cancel();
+        for (auto& [index, cancellation] : scoring_calls) {
+            cancellation->cancel();
         }
         for (auto& [index, run] : item_runs) {
             if (run->connection) {
--- a/src/gateway/item_scorer.cpp
+++ b/src/gateway/item_scorer.cpp
@@ -31,7 +31,7 @@
 }
 
 net::task<scoring_outcome> item_scorer::score(scoring_call call, policy::priority urgency,
-                                              std::shared_ptr<cancellation_token> ticket)
+                                              std::shared_ptr<cancellation_token> cancellation)
 {
     scoring_outcome outcome{scoring_error("no route matches the scoring call")};
     const auto* found = find_route(current_(), call.host, net::path_of(call.path));
@@ -50,7 +50,7 @@
     request.attempt_id = call.id;
     request.timeout = call_timeout;
     request.arrived_at = steady::now();
-    const auto reply = co_await calls_.make_internal_call(chosen, std::move(request), urgency, ticket);
+    const auto reply = co_await calls_.make_internal_call(chosen, std::move(request), urgency, cancellation);
     outcome.internal_errors = reply.internal_errors;
     outcome.max_internal_errors = chosen.attempts;
     if (!ok(reply.response)) {
--- a/src/gateway/item_scorer.hpp
+++ b/src/gateway/item_scorer.hpp
@@ -32,7 +32,7 @@
 
     /// Makes one call through the route of its host and path, with several attempts if the route allows them.
     net::task<scoring_outcome> score(scoring_call call, policy::priority urgency,
-                                     std::shared_ptr<cancellation_token> ticket);
+                                     std::shared_ptr<cancellation_token> cancellation);
 
 private:
     forwarder& calls_;
--- a/src/gateway/weights_updater.cpp
+++ b/src/gateway/weights_updater.cpp
@@ -151,9 +151,9 @@
                                           [&](const gateway_peer& peer) { return peer.vm == holder_vm; });
     const auto ranked = fleet_.ranked_owners(lease_name);
     const bool first = !ranked.empty() && ranked.front() == fleet_.self();
-    const bool holder_went = holder_alive_ && !holder_alive;
+    const bool holder_failed = holder_alive_ && !holder_alive;
     const bool became_first = first && !ranked_first_;
-    if (!lease_.holds(now) && (became_first || (first && holder_went))) {
+    if (!lease_.holds(now) && (became_first || (first && holder_failed))) {
         lease_.invalidate();
     }
     holder_alive_ = holder_alive;
@@ -320,12 +320,13 @@
     }
     const auto connection = std::get<std::shared_ptr<net::http_connection>>(taken);
     // The lease may have expired during the wait for the connection.
-    const auto number = was_suspended() || stopped_ ? std::nullopt : lease_.fencing_token(steady::now());
-    if (!number) {
+    const auto fencing_token =
+        was_suspended() || stopped_ ? std::nullopt : lease_.fencing_token(steady::now());
+    if (!fencing_token) {
         engine->pool.give_back(connection, seconds(1));
         co_return error{error_code::conflict, run_state::not_run, "the lease has expired"};
     }
-    order.fencing_token = *number;
+    order.fencing_token = *fencing_token;
     const auto request = protocol_.order_request(engine->info, order);
     const auto response = co_await exchange_with(engine, connection, request, until);
     if (!ok(response)) {
@@ -347,9 +348,9 @@
     bool ordered = false;
     if (ok(report)) {
         const auto found = value(report).weights.find(model);
-        const auto has = found == value(report).weights.end() ? std::uint64_t{0} : found->second;
-        if (has >= version) {
-            engine->record_version(model, has);
+        const auto loaded = found == value(report).weights.end() ? std::uint64_t{0} : found->second;
+        if (loaded >= version) {
+            engine->record_version(model, loaded);
             outcome = "already loaded";
         }
         else if (value(report).busy) {
@@ -390,11 +391,11 @@
     }
     while (ordered && engine->usable && engine->version_of(model) < version &&
            steady::now() - began < load_timeout) {
-        const auto now_has = co_await request_report(engine);
-        if (ok(now_has)) {
-            const auto found = value(now_has).weights.find(model);
-            engine->record_version(model,
-                                found == value(now_has).weights.end() ? std::uint64_t{0} : found->second);
+        const auto latest_report = co_await request_report(engine);
+        if (ok(latest_report)) {
+            const auto found = value(latest_report).weights.find(model);
+            engine->record_version(model, found == value(latest_report).weights.end() ? std::uint64_t{0}
+                                                                                      : found->second);
         }
         if (engine->version_of(model) < version) {
             co_await net::sleep_for(loop_, report_poll_interval);
--- a/tests/gateway/batch_tests.cpp
+++ b/tests/gateway/batch_tests.cpp
@@ -45,7 +45,8 @@
     EXPECT_EQ(cluster.status_of(served.address(), make_read("none", 0)), 503);
     EXPECT_EQ(cluster.status_of(served.address(), make_batch("b1")), 503);
     cluster.modify_store([](standins::fake_store& store) { store.faults.refuse = false; });
-    EXPECT_EQ(cluster.inspect_store<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }),
+    EXPECT_EQ(cluster.inspect_store<std::size_t>(
+                  [](standins::fake_store& store) { return store.count("batches"); }),
               0U);
 }
 
@@ -137,7 +138,8 @@
         EXPECT_FALSE(std::holds_alternative<net::http_response>(answer));
     }
     EXPECT_TRUE(deployment::eventually([&] { return runs() == item_count; }));
-    EXPECT_EQ(cluster.inspect_store<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }),
+    EXPECT_EQ(cluster.inspect_store<std::size_t>(
+                  [](standins::fake_store& store) { return store.count("batches"); }),
               0U);
     cluster.modify_store([](standins::fake_store& store) { store.faults.second_silent = false; });
     EXPECT_TRUE(
@@ -183,7 +185,8 @@
     EXPECT_TRUE(deployment::eventually([&] { return running() == 0; }));
     cluster.modify_store([](standins::fake_store& store) { store.faults.second_silent = false; });
     std::this_thread::sleep_for(milliseconds(800));
-    EXPECT_EQ(cluster.inspect_store<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }),
+    EXPECT_EQ(cluster.inspect_store<std::size_t>(
+                  [](standins::fake_store& store) { return store.count("batches"); }),
               0U);
 }
 
@@ -378,10 +381,11 @@
 {
     batch_deployment cluster;
     cluster.ready_gateway("a");
-    cluster.modify_store([](standins::fake_store& store) { store.put("retirements", "a", {{"DurationS", 8}}); });
+    cluster.modify_store([](standins::fake_store& store) {
+        store.put("retirements", "a", {{"DurationS", 8}});
+    });
     EXPECT_TRUE(deployment::eventually([&] {
-        const auto entry =
-            cluster.inspect_store<json>(
+        const auto entry = cluster.inspect_store<json>(
             [](standins::fake_store& store) { return store.find("retirements", "a"); });
         return entry.value("Status", json()) == json{{"State", "completed"}};
     }));
--- a/tests/gateway/scored_batch_tests.cpp
+++ b/tests/gateway/scored_batch_tests.cpp
@@ -151,7 +151,8 @@
     const auto& response = std::get<net::http_response>(outcome);
     EXPECT_EQ(response.status, 503);
     EXPECT_NE(json::parse(response.body)["detail"].get<std::string>().find("b1-s3"), std::string::npos);
-    EXPECT_EQ(cluster.inspect_store<std::size_t>([](standins::fake_store& store) { return store.count("batches"); }),
+    EXPECT_EQ(cluster.inspect_store<std::size_t>(
+                  [](standins::fake_store& store) { return store.count("batches"); }),
               0U);
 }
 
