--- a/src/rollout/core/job_shape.cpp
+++ b/src/rollout/core/job_shape.cpp
@@ -24,7 +24,7 @@
     return shape;
 }
 
-policy::wave_strategy weight_of(const config::job_spec& job)
+policy::wave_strategy strategy_of(const config::job_spec& job)
 {
     if (job.plain) {
         return policy::wave_strategy::drain_all;
--- a/src/rollout/rollout_service.cpp
+++ b/src/rollout/rollout_service.cpp
@@ -46,7 +46,7 @@
         return;
     }
     const auto& job = value(found);
-    weights_->announce(job->spec().deployment, request->trainer_version(), weight_of(job->spec()));
+    weights_->announce(job->spec().deployment, request->trainer_version(), strategy_of(job->spec()));
     job->pull(*request, [control, reply, done](result<v1::PullReply> outcome) {
         if (ok(outcome)) {
             *reply = value(std::move(outcome));
--- a/src/rollout/weight_rollout.cpp
+++ b/src/rollout/weight_rollout.cpp
@@ -37,7 +37,7 @@
 }
 
 void weight_rollout::announce(const std::string& deployment, std::uint64_t version,
-                              policy::wave_strategy weight)
+                              policy::wave_strategy strategy)
 {
     {
         const std::lock_guard lock(mutex_);
@@ -46,7 +46,7 @@
             return;
         }
         state.announced = version;
-        state.weight = weight;
+        state.strategy = strategy;
         state.pending[version] = steady::now();
         next_announcement_ = {};
     }
@@ -78,7 +78,7 @@
     const auto now = steady::now();
     std::shared_ptr<order_fence> fence;
     std::uint64_t announced = 0;
-    policy::wave_strategy weight{};
+    policy::wave_strategy strategy{};
     bool announcement_due = false;
     {
         const std::lock_guard lock(mutex_);
@@ -88,17 +88,17 @@
         }
         fence = state.fence;
         announced = state.announced;
-        weight = state.weight;
+        strategy = state.strategy;
         announcement_due = !owned && found && announced > 0 && now >= next_announcement_;
         next_announcement_ = announcement_due ? now + announce_interval : next_announcement_;
     }
     fence->tick(owned, view.updated);
     if (announcement_due) {
-        forward_announcement(deployment, found->http_address, announced, weight);
+        forward_announcement(deployment, found->http_address, announced, strategy);
     }
     const auto engine_states = engines->wave_view(announced, now);
     record_convergence(deployment, engine_states);
-    const auto actions = policy::plan_wave(engine_states, announced, weight, now);
+    const auto actions = policy::plan_wave(engine_states, announced, strategy, now);
     engines->hold_new_work(actions.hold_new_work);
     if (!owned || announced == 0) {
         return;
@@ -126,12 +126,12 @@
 // The deployment's owner sends the orders for all jobs, and may be another process than a job's owner. The
 // announcement is repeated so that a new owner gets it too.
 void weight_rollout::forward_announcement(const std::string& deployment, const std::string& address,
-                                          std::uint64_t version, policy::wave_strategy weight)
+                                          std::uint64_t version, policy::wave_strategy strategy)
 {
     v1::AnnounceRequest request;
     request.set_deployment(deployment);
     request.set_version(version);
-    request.set_weight(static_cast<int>(weight));
+    request.set_weight(static_cast<int>(strategy));
     wire::call_options options;
     options.timeout = announce_timeout;
     options.token = context_.settings.tokens.trainer;
--- a/src/rollout/weight_rollout.hpp
+++ b/src/rollout/weight_rollout.hpp
@@ -19,7 +19,7 @@
     explicit weight_rollout(const context& shared);
 
     /// Versions only increase: announcing an older one has no effect.
-    void announce(const std::string& deployment, std::uint64_t version, policy::wave_strategy weight);
+    void announce(const std::string& deployment, std::uint64_t version, policy::wave_strategy strategy);
     /// Sends the orders that are due here, forwards announcements to the owners of other deployments, and
     /// requests the engines' reports.
     void tick();
@@ -27,7 +27,7 @@
 private:
     struct deployment_state {
         std::uint64_t announced = 0;
-        policy::wave_strategy weight = policy::wave_strategy::staleness;
+        policy::wave_strategy strategy = policy::wave_strategy::staleness;
         std::shared_ptr<order_fence> fence;
         /// Announcement times of the versions that not all engines have loaded.
         std::map<std::uint64_t, time_point> pending;
@@ -44,7 +44,7 @@
     void advance(const std::string& deployment, const pool& engines, const node::view& view);
     void record_convergence(const std::string& deployment, const std::vector<policy::wave_engine>& engines);
     void forward_announcement(const std::string& deployment, const std::string& address,
-                              std::uint64_t version, policy::wave_strategy weight);
+                              std::uint64_t version, policy::wave_strategy strategy);
     void fetch(const std::string& deployment, const pool& engines, const std::string& engine,
                std::uint64_t version);
     void send_order(const std::string& deployment, const pool& engines, const std::string& engine,
--- a/tests/adapter/protocol_tests.cpp
+++ b/tests/adapter/protocol_tests.cpp
@@ -42,10 +42,10 @@
     fields.add("Not-Executed", "1");
     fields.add("Attempt-Id", "b");
     fields.add("Replica-Load", "3,1,8");
-    const auto marks = protocol.parse_metadata(503, fields, "a");
-    EXPECT_TRUE(marks.not_run);
-    EXPECT_FALSE(marks.echoes_attempt);
-    EXPECT_EQ(marks.load->waiting, 1);
+    const auto metadata = protocol.parse_metadata(503, fields, "a");
+    EXPECT_TRUE(metadata.not_run);
+    EXPECT_FALSE(metadata.echoes_attempt);
+    EXPECT_EQ(metadata.load->waiting, 1);
     net::http_fields odd;
     odd.add("Replica-Load", "many");
     EXPECT_FALSE(protocol.parse_metadata(200, odd, "a").load);
