--- a/src/gateway/admission_queue.cpp
+++ b/src/gateway/admission_queue.cpp
@@ -80,7 +80,7 @@
     }
 }
 
-// A request that was withdrawn keeps its place in the line; when its turn comes the place goes to the next.
+// A cancelled request stays in the queue; capacity granted to it is released for the next one.
 void admission_queue::advance()
 {
     auto found = scheduler_.advance(steady::now());
--- a/src/gateway/admission_queue.hpp
+++ b/src/gateway/admission_queue.hpp
@@ -1,5 +1,5 @@
-/// Admission to the replicas of one service: tasks wait here until a replica has room or they are turned
-/// away.
+/// Admission to the replicas of one service: tasks wait here until a replica has capacity or they are
+/// refused.
 #ifndef VANILLAGAUGE_GATEWAY_ADMISSION_QUEUE_HPP
 #define VANILLAGAUGE_GATEWAY_ADMISSION_QUEUE_HPP
 
@@ -19,19 +19,20 @@
     admission_queue(net::loop& loop, std::uint64_t seed, policy::pool_options options,
                     policy::wait_policy patience);
 
-    /// Takes the service's present replicas.
+    /// Sets the service's current replicas.
     void update(const std::vector<target_ref>& targets, time_point now);
-    /// Waits for a place. An error is `not_run` and final. `withdraw` may end the wait before.
+    /// Waits for capacity and returns a replica's instance id. An error is `not_run` and final. `cancel` ends
+    /// the wait.
     net::task_of<std::string> admit(policy::work item);
-    /// Another replica for a request that was sent before; none where none has room or the budget is spent.
+    /// Another replica for a request that was already sent; none without capacity or retry budget.
     std::optional<std::string> retry(const policy::work& item);
-    /// Gives the place at a replica back.
+    /// Releases the capacity at a replica.
     void finish(const std::string& instance_id, const policy::attempt_report& report);
     void on_load(const std::string& instance_id, const policy::load_report& load);
-    /// The client of a waiting request has gone.
+    /// Cancels a waiting request whose client has disconnected.
     void cancel(std::uint64_t work_id);
 
-    /// How long to wait for an answer before another replica is asked.
+    /// Time without a response after which to try another replica.
     duration hedge_delay() const { return scheduler_.pool().hedge_delay(); }
 
 private:
--- a/src/gateway/configuration.hpp
+++ b/src/gateway/configuration.hpp
@@ -1,4 +1,4 @@
-/// What the operator declares: routes, services and what a client may send.
+/// The operator's configuration: routes, services and limits on client requests.
 #ifndef VANILLAGAUGE_GATEWAY_CONFIGURATION_HPP
 #define VANILLAGAUGE_GATEWAY_CONFIGURATION_HPP
 
@@ -12,12 +12,12 @@
 
 namespace vanillagauge::gateway {
 
-/// What may be done again on behalf of one client request.
+/// How often a client request may run.
 enum class route_kind {
     idempotent, ///< may run any number of times
     once,       ///< runs at most once
     stream,     ///< a stream of events; runs once unless it can be resumed
-    batch,      ///< batches of generations for a trainer
+    batch,      ///< a trainer's batches of generations
 };
 
 struct weighted_service {
@@ -31,20 +31,20 @@
     std::string path_prefix; ///< begins and ends with a slash
     route_kind kind = route_kind::once;
     std::vector<weighted_service> services; ///< a request goes to one of them, by weight
-    milliseconds timeout{0};                ///< longest time a request may be kept; 0: no bound
+    milliseconds timeout{0};                ///< limit on the time of a request; 0: none
     milliseconds target_latency{0};
-    milliseconds max_age{0};     ///< after it an item of a batch may be given up; 0: never
-    milliseconds result_time{0}; ///< in which a batch's results are due
-    int attempts = 1;            ///< replicas that one request may be sent to
+    milliseconds max_age{0};     ///< age at which a batch item may be abandoned; 0: never
+    milliseconds result_time{0}; ///< time limit for a batch's results
+    int attempts = 1;            ///< most replicas that one request is sent to
     int priority = 0;            ///< 0 is the most urgent
     bool resumable = false;
-    bool single_version = false; ///< one version of the weights makes all of a result
+    bool single_version = false; ///< a result must come from a single weights version
 };
 
 struct service {
     std::string name;
     std::string health_path;
-    int max_connections = 0; ///< that one replica takes from all callers together
+    int max_connections = 0; ///< per replica, over all callers
     std::vector<std::string> models;
 };
 
@@ -56,19 +56,19 @@
 };
 
 struct configuration {
-    std::uint64_t version = 0; ///< 0: none is known yet
+    std::uint64_t version = 0; ///< 0: none loaded yet
     std::vector<route> routes;
     std::map<std::string, service> services;
     client_limits limits;
 };
 
-/// The route of this host with the longest prefix of the path; null where none matches.
+/// The host's route with the longest matching path prefix; null if none matches.
 const route* find_route(const configuration& current, std::string_view host, std::string_view path);
 
-/// The route of this name; null where there is none.
+/// Null if there is no route of this name.
 const route* route_named(const configuration& current, std::string_view name);
 
-/// One of the route's services, drawn by weight; `draw` lies between 0 and 1. Empty where it has none.
+/// A service of the route, selected by weight; `draw` is in [0, 1]. Empty if the route has none.
 std::string pick_service(const route& chosen, double draw);
 
 } // namespace vanillagauge::gateway
--- a/src/gateway/feed.cpp
+++ b/src/gateway/feed.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-/// Some minutes of a busy day; an asker from before them gets all names.
+/// A gateway whose revision is older than the retained removals gets all names instead.
 constexpr std::size_t max_removals = 1024;
 
 } // namespace
 
-// An answer that was long under way must not bring an older state back.
+// A delayed response must not restore an older state.
 void feed::apply(object_change change)
 {
     const auto found = objects_.find(change.object.name);
@@ -61,7 +61,7 @@
     }
 }
 
-// Also of an object that was never known here: a gateway that asks may know it from another one.
+// Also records objects unknown here: the polling gateway may have learned of them from another one.
 void feed::record_removal(const stored_object& object, std::uint64_t as_of)
 {
     stored_object removed;
@@ -74,7 +74,7 @@
     }
 }
 
-// What came and went before a list of all names was made shows in none of the names.
+// A list of all names omits objects created and removed before it was made, so older removals are incomplete.
 void feed::discard_removals(std::uint64_t as_of)
 {
     removals_.clear();
@@ -106,7 +106,7 @@
     advance(changes.as_of, requested_at);
 }
 
-// Names of everything in each answer would make the fleet's traffic grow with VMs times replicas.
+// Sending all names each time would make the fleet's traffic grow with VMs times replicas.
 feed_update feed::update_since(std::uint64_t since) const
 {
     feed_update update;
@@ -137,8 +137,8 @@
 void feed::apply_update(feed_update update, time_point requested_at)
 {
     if (update.as_of < as_of_) {
-        // Its watch waits since an earlier revision than this copy was listed at: nothing has changed since.
-        // Taken for no word at all, it would make this gateway list everything again each second.
+        // The sender's watch started at an earlier revision and has seen no change since. Ignoring the update
+        // would make this copy stale and cause a full listing each second.
         confirmed_at_ = std::max(confirmed_at_, requested_at);
         return;
     }
@@ -189,7 +189,7 @@
 
 result<feed_update> feed_update_from_json(const json& document)
 {
-    error malformed{error_code::unavailable, run_state::in_doubt, "expected a gateway's news of a feed"};
+    error malformed{error_code::unavailable, run_state::in_doubt, "malformed feed update from a gateway"};
     return decode<feed_update>(document, std::move(malformed), [](const json& from) {
         feed_update update;
         update.as_of = from.at("as_of").get<std::uint64_t>();
--- a/src/gateway/feed.hpp
+++ b/src/gateway/feed.hpp
@@ -1,4 +1,4 @@
-/// A copy of one kind of the store's objects, kept up to date by a watch or through gateways that watch.
+/// A local copy of all store objects of one kind, updated by a store watch or from other gateways.
 #ifndef VANILLAGAUGE_GATEWAY_FEED_HPP
 #define VANILLAGAUGE_GATEWAY_FEED_HPP
 
@@ -15,15 +15,15 @@
 
 namespace vanillagauge::gateway {
 
-/// What a gateway that watches tells one that does not.
+/// Incremental update sent by a gateway that watches the store to one that does not.
 struct feed_update {
     std::uint64_t as_of = 0;
     std::vector<stored_object> changed;
-    std::vector<stored_object> removed;         ///< names and last revisions
-    std::optional<std::set<std::string>> names; ///< of all objects; then `removed` is empty
+    std::vector<stored_object> removed;         ///< name and last revision only
+    std::optional<std::set<std::string>> names; ///< of all objects; if set, `removed` is empty
 };
 
-/// Between gateways; an answer of another shape is `unavailable`.
+/// JSON exchanged between gateways; malformed input is `unavailable`.
 nlohmann::json to_json(const feed_update& update);
 result<feed_update> feed_update_from_json(const nlohmann::json& document);
 
@@ -31,48 +31,45 @@
 public:
     using handler = std::function<void(const object_change&)>;
 
-    /// `on_change` runs for each change, also for those found by listing again.
+    /// `on_change` runs for each change, including those detected by a new listing.
     feed(std::string kind, handler on_change) : kind_(std::move(kind)), on_change_(std::move(on_change)) {}
 
-    // Commands.
-    /// The whole kind as the store had it at `as_of`, which was asked for at `asked`.
+    /// Applies a complete listing at revision `as_of`.
     void apply_listing(std::map<std::string, stored_object> listed, std::uint64_t as_of,
                        time_point requested_at);
     void apply_changes(object_changes changes, time_point requested_at);
-    /// Takes an object that this gateway itself has just written, without waiting for the watch.
+    /// Applies an object just written by this gateway, before the watch reports it.
     void apply_own_write(stored_object object) { apply({std::move(object), false}); }
-    /// What a gateway that watches told; it was current at `asked`.
+    /// Applies an update from a watching gateway; it was current at `requested_at`.
     void apply_update(feed_update update, time_point requested_at);
-    /// Holds nothing any more, as at the start; each object is told as removed.
+    /// Returns to the initial empty state; reports each object as removed.
     void reset();
 
-    // Queries.
     const std::string& kind() const { return kind_; }
     const std::map<std::string, stored_object>& objects() const { return objects_; }
-    /// The content was whole at least once.
+    /// Whether a complete copy has been received since construction or `reset`.
     bool synced() const { return synced_; }
-    /// The content is what the store held at this revision.
+    /// The store revision of the content.
     std::uint64_t as_of() const { return as_of_; }
-    /// When the content was last known to be current.
+    /// The last time at which the content was known to be current.
     time_point confirmed_at() const { return confirmed_at_; }
-    /// Whether this copy holds changes behind the revision.
+    /// Whether there are changes after the revision `since`.
     bool changed_since(std::uint64_t since) const { return synced_ && changed_as_of_ > since; }
-    /// What changed behind the revision, for a gateway that does not watch.
+    /// The changes after the revision `since`.
     feed_update update_since(std::uint64_t since) const;
 
 private:
-    /// That an object has gone, known here since the revision `as_of`.
     struct removal {
-        stored_object object; ///< name and last revision
-        std::uint64_t as_of = 0;
+        stored_object object;    ///< name and last revision only
+        std::uint64_t as_of = 0; ///< store revision at which the removal was seen
     };
     std::string kind_;
     handler on_change_;
     std::map<std::string, stored_object> objects_;
     std::uint64_t as_of_ = 0;
-    std::uint64_t changed_as_of_ = 0;  ///< the revision with which the last change came
-    std::deque<removal> removals_;     ///< by as_of
-    std::uint64_t removals_since_ = 0; ///< every removal behind this revision is among them
+    std::uint64_t changed_as_of_ = 0;  ///< store revision of the last change
+    std::deque<removal> removals_;     ///< ordered by as_of
+    std::uint64_t removals_since_ = 0; ///< `removals_` is complete after this revision
     bool synced_ = false;
     time_point confirmed_at_{};
 
--- a/src/gateway/feed_sync.cpp
+++ b/src/gateway/feed_sync.cpp
@@ -12,44 +12,38 @@
 
 namespace {
 
-/// Gateways that watch the store, each event costing a call of each: three in different failure domains leave
-/// one while a domain is down and another VM restarts. In a large fleet one more for each two dozen of
-/// gateways, so that none answers more than some forty questions a second; the busiest of 66 fronts takes
-/// 0.023 cores in all.
+/// Three watchers in different failure domains leave one while a domain is down and another VM restarts. Each
+/// event costs one store call per watcher. Large fleets add watchers to bound the polls that each one serves.
 constexpr std::size_t min_watchers = 3;
 constexpr std::size_t gateways_per_watcher = 24;
 
-/// A watch counts as one call however long it waits.
+/// The store counts a watch as one call, however long it waits.
 constexpr milliseconds watch_timeout{20000};
 
-/// A watch that waits looks the same whether nothing changes or the store no longer answers this VM, and
-/// the others would be told "nothing new" until keep-alive probes end the connection, some three seconds
-/// later, or never where the store itself is silent. Changes must be in force everywhere within two
-/// seconds, so a watcher that heard nothing asks for a sign of life, which may be old and costs the
-/// store little.
+/// A pending watch cannot tell an idle store from an unreachable one, and the gateway would keep reporting
+/// "no change" to its peers. Changes must apply everywhere within two seconds, faster than TCP keep-alive
+/// detects a dead connection, so an idle watcher pings the store. A stale read suffices.
 constexpr milliseconds ping_interval{600};
 constexpr milliseconds ping_timeout{500};
 
-/// Changes must be in force everywhere within two seconds. A watcher may have gone silent, or be cut off from
-/// the store without knowing it yet; asking them in turn, each for no longer than this, finds another one in
-/// time.
+/// A watcher may be unresponsive, or cut off from the store without having noticed. Polling the watchers in
+/// turn with this limit reaches a working one within the two seconds in which changes must apply.
 constexpr milliseconds poll_timeout{600};
 constexpr milliseconds poll_margin{400};
 
-/// Without word from a watcher for this long, a gateway asks the store itself.
+/// A gateway whose feeds have not been confirmed for this long contacts the store itself.
 constexpr milliseconds staleness_limit{1300};
 
-/// While neither serves, each try at the store costs a call.
+/// Bounds of the random delay between attempts while the store fails; each attempt costs a call.
 constexpr milliseconds min_retry_delay{250};
 constexpr milliseconds max_retry_delay{700};
 constexpr milliseconds idle_delay{100};
 
-/// Changes come in bursts: replicas load new weights two by two, batches end and begin together. What comes
-/// within this time of a change is told by the next call, for a sixth of the time allowed. With a watcher
-/// for each two dozen: 2,859 calls of a calm day of 78 VMs, 4,011 with half the time and twice the watchers.
+/// Delay before the next watch, so that one call returns a burst of changes. Uses a sixth of the two seconds
+/// in which changes must apply.
 constexpr milliseconds coalescing_delay{300};
 
-/// One for each loop: two gateways in one process raced for a shared one.
+/// Per thread: gateways in one process would race on a shared generator.
 std::mt19937_64& random()
 {
     thread_local std::mt19937_64 shared{std::random_device{}()};
@@ -83,7 +77,7 @@
     net::start(loop_, ping_store());
 }
 
-// Watches look at this count to learn that their answer is of no more use; they list again then.
+// Each pending watch compares the generation and is abandoned when it changes; its feed is then listed again.
 void feed_sync::restart_watches()
 {
     ++watch_generation_;
@@ -131,7 +125,7 @@
     last_failure_ = steady::now();
     if (!store_down_) {
         const auto known = confirmed_at();
-        const auto age_ms = known == time_point{} // nothing was known yet
+        const auto age_ms = known == time_point{} // no feed synced yet
                                 ? std::int64_t{-1}
                                 : std::chrono::duration_cast<milliseconds>(last_failure_ - known).count();
         observe::log(observe::log_level::warning, "feeds_lost",
@@ -140,8 +134,8 @@
     store_down_ = true;
 }
 
-// After a failure one feed tries the store and the others wait for it: each try costs a call, also a refused
-// one.
+// After a failure only the first feed retries, because every attempt costs a call even if the store refuses
+// it.
 net::task<void> feed_sync::sync_from_store(std::size_t index)
 {
     auto& entry = feeds_[index];
@@ -190,7 +184,8 @@
             after = object.name;
             listed[object.name] = object;
         }
-        // What changes while the pages are read shows in the watch from the first page's revision.
+        // Changes made while the pages are read are returned by the watch, which starts at the first page's
+        // revision.
         as_of = as_of == 0 ? value(page).as_of : as_of;
         if (!value(page).more) {
             break;
@@ -222,7 +217,7 @@
     while (!call->answer && generation == watch_generation_) {
         co_await watch_ended_.wait_until(until);
     }
-    // What happened since the watch was cut is not known; listing again is sure.
+    // Changes since the watch was abandoned may have been missed, so list again.
     if (!call->answer) {
         entry.listed = false;
         co_return false;
@@ -240,8 +235,8 @@
         observe::log(observe::log_level::warning, "feed_history_gone",
                      {{"kind", entry.content->kind()}, {"as_of", static_cast<std::int64_t>(since)}});
     }
-    // A store that has dropped its history cuts the watches and serves on. To wait before the first try would
-    // keep from everybody what changed while the watches heard nothing.
+    // A store that dropped its history ends watches but keeps serving. List at once: a delay would hold back
+    // the changes missed in between from every gateway.
     co_return co_await list(entry);
 }
 
@@ -272,8 +267,8 @@
     }
 }
 
-// Also a gateway that watches asks the others in turn: the store may have stopped to answer this VM alone, on
-// a connection that looks sound.
+// A watching gateway polls its peers too: the store may have stopped responding to this VM alone, on a
+// connection that still looks healthy.
 net::task<void> feed_sync::poll_peers()
 {
     while (true) {
--- a/src/gateway/fleet_view.cpp
+++ b/src/gateway/fleet_view.cpp
@@ -11,11 +11,11 @@
 namespace vanillagauge::gateway {
 namespace {
 
-/// The names under which a gateway tells its addresses to the others.
+/// Roles under which a gateway announces its addresses.
 constexpr const char* relay_role = "gateway";
 constexpr const char* front_role = "front";
 
-/// A program is taken for gone when it was not heard for some seconds; this one speaks for itself.
+/// Well below the few seconds of silence after which a program is considered dead.
 constexpr milliseconds heartbeat_interval{500};
 
 fleet::node self_of(const config::settings& settings, std::uint64_t incarnation)
--- a/src/gateway/fleet_view.hpp
+++ b/src/gateway/fleet_view.hpp
@@ -1,4 +1,4 @@
-/// This gateway's place among the others, by the keepers' failure detector.
+/// Membership of the gateway fleet, from the keepers' failure detector.
 #ifndef VANILLAGAUGE_GATEWAY_FLEET_VIEW_HPP
 #define VANILLAGAUGE_GATEWAY_FLEET_VIEW_HPP
 
@@ -13,7 +13,7 @@
 
 namespace vanillagauge::gateway {
 
-/// A gateway that lives, as the others know it.
+/// A live gateway, as announced to the others.
 struct gateway_peer {
     std::string vm;
     std::uint64_t incarnation = 0;
@@ -22,7 +22,7 @@
     bool draining = false;
 };
 
-/// Runs on the loop's thread, but for construction and `open`.
+/// For use on the loop's thread only, except for construction, `open` and `close`.
 class fleet_view {
 public:
     fleet_view(wire::event_loop& loop, const config::settings& settings);
@@ -30,33 +30,30 @@
     fleet_view(const fleet_view&) = delete;
     fleet_view& operator=(const fleet_view&) = delete;
 
-    // Commands.
-    /// Opens the peers' addresses and starts to probe. `on_change` runs after each change of the members.
-    /// The addresses are those that the others are told.
+    /// Listens for peers, announces the given addresses to them and starts probing. `on_change` runs after
+    /// each change of membership.
     result<done> open(const std::string& relay_address, const std::string& front_address,
                       std::function<void()> on_change);
-    /// Peers that the store names, for a newcomer whose seeds are all gone.
+    /// Adds peers listed in the store, for a new VM none of whose seeds is alive.
     void add_peers(std::vector<std::string> peer_addresses);
-    /// Whether callers may be sent to this VM's front.
+    /// Whether this VM's front accepts callers.
     void set_front_open(bool open);
-    /// The store does not serve this VM's watches: another should watch for the others.
+    /// Whether this VM's store watches fail, so that another VM should be a watcher.
     void set_watch_failing(bool failing);
-    /// From now on no new work is to come here.
+    /// Announces that this VM accepts no new work.
     void set_draining();
-    /// Tells the others that this VM leaves; its batches are theirs.
+    /// Announces that this VM leaves; others take over its batches.
     void leave();
-    /// Ends the connections with the others; from another thread, before the loop stops.
+    /// Closes the connections to peers; call from another thread, before the loop stops.
     void close();
 
-    // Queries.
-    /// Living gateways, this one among them, by VM.
+    /// Live gateways including this one, ordered by VM.
     std::vector<gateway_peer> peers() const;
-    /// Living gateways that take work, in the order in which they would own `thing`: the same by every view
-    /// that agrees on the members.
+    /// Live gateways that accept work, ranked as owners of `key`. Views with equal membership rank equally.
     std::vector<std::string> ranked_owners(const std::string& key) const;
-    /// A VM is alive under this incarnation, as far as this one knows.
+    /// Whether the VM is alive under this incarnation, as far as is known here.
     bool is_alive(const std::string& vm, std::uint64_t incarnation) const;
-    /// Up to `count` living VMs that watch the store for the others.
+    /// Up to `count` live VMs that are to watch the store for the others.
     std::vector<std::string> watchers(std::size_t count) const;
     bool isolated() const;
     const std::string& self() const { return vm_; }
--- a/src/gateway/forwarder.cpp
+++ b/src/gateway/forwarder.cpp
@@ -7,18 +7,18 @@
 namespace vanillagauge::gateway {
 namespace {
 
-/// A route without a time-out and a caller that names no time.
+/// If neither the route nor the caller sets a time limit.
 constexpr milliseconds default_call_timeout{60000};
 
-/// A replica that has not answered an idempotent request after this many target latencies is taken for hung,
-/// while there is another to ask: the slowest of a hundred answers takes some five times the mean.
+/// A repeatable request goes to another replica after this many target latencies without a response. Well
+/// above the mean, because the slowest of a hundred responses takes about five times the mean.
 constexpr int hang_latency_factor = 4;
 constexpr milliseconds min_hang_timeout{400};
 
-/// When to come back to a service without a usable replica: one that crashed is back after some seconds.
+/// Retry-After for a service without a usable replica; a crashed one restarts within seconds.
 constexpr milliseconds no_replica_retry_after{500};
 
-/// When to come back from a gateway that stops, which is at once: another one serves.
+/// Retry-After of a stopping gateway: nearly immediate, since another one serves.
 constexpr milliseconds stopping_retry_after{1};
 
 error not_run(error_code code, std::string detail, milliseconds retry_after)
@@ -28,7 +28,7 @@
 
 policy::priority urgency_of(int priority)
 {
-    // Lower numbers are more urgent; the scheduler knows three classes.
+    // Lower numbers are more urgent; the scheduler has three classes.
     if (priority <= 0) {
         return policy::priority::gate;
     }
@@ -44,8 +44,8 @@
 {
 }
 
-// Calls of the gateway's own have a gate apart: they take longer than callers' requests and come in bursts,
-// so one line and one measure of latency for both would make each replica look slow, and callers would wait.
+// Internal calls have a separate queue: they take longer than callers' requests and come in bursts, so a
+// shared queue and latency estimate would make every replica look slow and delay callers.
 admission_queue* forwarder::queue_of(const call& current)
 {
     const auto& service = current.service;
@@ -102,7 +102,6 @@
     return current;
 }
 
-// Nobody waits for the answer any more.
 void forwarder::cancel(call& current)
 {
     current.client_gone = true;
@@ -223,8 +222,8 @@
     return std::min(current.deadline, now + std::max<duration>(patience, min_hang_timeout));
 }
 
-// A request that is not idempotent goes on only where the replica itself, or a connection that was never
-// made, proves that it has not run. A reset or a silence proves nothing.
+// A request that is not repeatable is retried only if the replica stated, or a connection that was never made
+// proves, that it has not run. A reset or a time-out proves nothing.
 bool forwarder::may_retry(const call& current, const attempt_outcome& outcome, time_point now) const
 {
     if (current.client_gone || now >= current.deadline || current.attempts >= current.chosen.attempts) {
@@ -264,7 +263,7 @@
         co_return;
     }
     if (current.response_started || current.client_gone) {
-        current.answer->abort(); // an answer that has begun and cannot be completed must not look whole
+        current.answer->abort(); // a truncated response must not look complete
         co_return;
     }
     if (auto* response = std::get_if<net::http_response>(&outcome.result); response && !outcome.not_run) {
--- a/src/gateway/forwarder.hpp
+++ b/src/gateway/forwarder.hpp
@@ -1,4 +1,4 @@
-/// Passes callers' requests to replicas and the answers back.
+/// Forwards requests to replicas and returns their responses.
 #ifndef VANILLAGAUGE_GATEWAY_FORWARDER_HPP
 #define VANILLAGAUGE_GATEWAY_FORWARDER_HPP
 
@@ -26,12 +26,12 @@
     net::http_request http;
     std::string host;
     std::string attempt_id;
-    std::optional<milliseconds> timeout{};       ///< how long the caller waits
-    std::optional<std::uint64_t> resume_after{}; ///< the last event of the stream that the caller has
+    std::optional<milliseconds> timeout{};       ///< requested by the caller
+    std::optional<std::uint64_t> resume_after{}; ///< id of the last stream event the caller received
     time_point arrived_at{};
 };
 
-/// Ends a call of the gateway's own before its answer is there.
+/// Cancels an internal call that is in flight.
 class cancellation_token {
 public:
     void on_cancel(std::function<void()> callback) { callback_ = std::move(callback); }
@@ -49,7 +49,7 @@
     bool cancelled_ = false;
 };
 
-/// How a call of the gateway's own ended.
+/// Outcome of an internal call, which this gateway makes itself.
 struct internal_call_outcome {
     result<net::http_response> response;
     int internal_errors = 0; ///< replicas that answered 500
@@ -61,16 +61,16 @@
     forwarder(net::loop& loop, const target_registry& targets, const target_protocol& protocol,
               observe::metrics& counts, policy::quarantine& crashes, std::string failure_domain);
 
-    /// Answers the request; the client gets exactly one answer, or sees its connection end.
+    /// Answers the request: the client gets exactly one response, or its connection is closed.
     net::task<void> forward(route chosen, caller_request request, net::responder& answer);
-    /// Makes a call for work that this gateway does for others. It may run more than once. Its places at the
-    /// replicas are its own, few, and given to urgent calls first.
+    /// Makes a call on behalf of this gateway's own work. It may run more than once. Internal calls have a
+    /// separate, small share of each replica's capacity, given to urgent calls first.
     net::task<internal_call_outcome> make_internal_call(route chosen, caller_request request,
                                                         policy::priority urgency,
                                                         std::shared_ptr<cancellation_token> ticket);
-    /// Refuses from now on callers' requests that the plan does not take.
+    /// From now on refuses callers' requests that the plan does not accept.
     void set_stop_plan(std::shared_ptr<const policy::stop_plan> plan) { stop_ = std::move(plan); }
-    /// The replicas or the configuration changed.
+    /// Call after a change of the replicas or the configuration.
     void refresh(time_point now);
 
 private:
@@ -82,10 +82,10 @@
     observe::metrics& counts_;
     policy::quarantine& crashes_;
     std::string failure_domain_;
-    std::shared_ptr<const policy::stop_plan> stop_; ///< null: this process is not told to stop
-    std::map<std::string, std::unique_ptr<admission_queue>> queues_; ///< of callers' requests, by service
+    std::shared_ptr<const policy::stop_plan> stop_; ///< null until the process is told to stop
+    std::map<std::string, std::unique_ptr<admission_queue>> queues_; ///< for callers' requests, by service
     std::map<std::string, std::unique_ptr<admission_queue>>
-        internal_queues_; ///< of calls of the gateway's own
+        internal_queues_; ///< for internal calls, by service
     std::mt19937_64 random_{std::random_device{}()};
     std::uint64_t next_work_ = 1;
 
@@ -101,7 +101,7 @@
                                            net::response_head& head);
     net::task<attempt_outcome> forward_events(call& current, net::http_connection& connection,
                                               net::response_head head);
-    /// The replica closed the connection before its answer.
+    /// Records that the replica closed the connection before responding.
     void record_crash(const call& current, bool reused);
     bool may_retry(const call& current, const attempt_outcome& outcome, time_point now) const;
     time_point attempt_deadline(const call& current, const admission_queue& queue, time_point now) const;
--- a/src/gateway/forwarder_attempts.cpp
+++ b/src/gateway/forwarder_attempts.cpp
@@ -1,4 +1,4 @@
-// Attempts of callers' requests at single replicas.
+// Attempts at a single replica.
 #include "gateway/internal/forwarded_call.hpp"
 #include "observe/log.hpp"
 
@@ -7,10 +7,10 @@
 
 constexpr std::size_t max_response_bytes = 64U << 20U;
 
-/// Of a replica that names no time for idle connections.
+/// For a replica that sends no Keep-Alive timeout.
 constexpr milliseconds default_idle_timeout{4000};
 
-/// A stream is silent for at most this long before it is taken for broken.
+/// A stream without data for this long is considered broken.
 constexpr milliseconds stream_idle_timeout{5000};
 
 net::http_fields end_to_end_fields(const net::http_fields& fields)
@@ -25,11 +25,10 @@
     return kept;
 }
 
-/// Whole events of a stream as they were sent, for a stream that may be resumed: half an event could not be
-/// completed by another replica.
+/// Splits a resumable stream at event boundaries: another replica could not complete a partial event.
 class event_buffer {
 public:
-    /// The text up to the end of the last whole event.
+    /// Adds bytes and removes the text up to the end of the last complete event.
     std::string take(std::string_view bytes)
     {
         pending_ += bytes;
@@ -56,7 +55,8 @@
     const auto code = failed.kind == net::failure_kind::timeout && !repeatable ? error_code::deadline_exceeded
                                                                                : error_code::unavailable;
     return {code, ran,
-            std::string("the replica's connection: ") + net::name(failed.kind) + ", " + failed.detail};
+            std::string("connection to the replica failed: ") + net::name(failed.kind) + ", " +
+                failed.detail};
 }
 
 } // namespace
@@ -77,15 +77,15 @@
                   {"held", std::int64_t{ok(crashes_.check(current.fingerprint, now)) ? 0 : 1}}});
 }
 
-// Opens a connection, sends the request and reads the head. An answer whose id is another one's, or a success
-// that the replica did not authenticate, belongs to nobody: its connection ends here.
+// Opens a connection, sends the request and reads the response head. Drops a response with another request's
+// id, and a success without the replica's authentication code, and closes the connection.
 net::task<forwarder::attempt_outcome>
 forwarder::open_answer(call& current, target_ref at, time_point until,
                        std::shared_ptr<net::http_connection>& connection, net::response_head& head)
 {
     attempt_outcome outcome;
-    // A pooled connection may be closed by the replica while the request is under way, which leaves open
-    // whether it ran; only what may run again takes that chance, and nothing that may have crashed a replica.
+    // A replica may close a pooled connection while the request is in flight, which leaves its execution in
+    // doubt. So only repeatable requests reuse one, and none suspected of crashing replicas.
     const bool may_reuse = current.repeatable() && !crashes_.is_suspect(current.fingerprint, steady::now());
     auto connecting = may_reuse ? at->pool.take(until) : at->pool.take_new(until);
     auto taken = co_await std::move(connecting);
@@ -110,7 +110,7 @@
     }
     current.sent_at = steady::now();
     const auto written = co_await connection->send(request, until);
-    // A replica may answer and close before it has read a long body; the answer counts.
+    // A replica may respond and close before reading all of a long body; that response is valid.
     const auto* unwritten = std::get_if<net::http_failure>(&written);
     if (unwritten != nullptr && unwritten->kind != net::failure_kind::closed) {
         outcome.result = connection_error(*unwritten, current.repeatable());
@@ -132,7 +132,7 @@
     if (!marks.not_run && (!marks.echoes_attempt || (success && marks.authentication_code.empty()))) {
         connection->close();
         outcome.result = error{error_code::incomplete, run_state::in_doubt,
-                               "the answer belongs to another request or is not the replica's"};
+                               "the response has another request's id or no authentication code"};
         co_return outcome;
     }
     outcome.result = net::http_response{head.status, end_to_end_fields(head.fields), {}};
@@ -207,7 +207,7 @@
     }
     event_buffer events;
     net::event_reader reader;
-    bool any_event = false; // a replica that is lost later had begun to run the request safely
+    bool any_event = false; // once set, a lost replica is not counted as a crash by this request
     while (true) {
         auto read = co_await connection.read_piece(steady::now() + stream_idle_timeout);
         if (const auto* failed = std::get_if<net::http_failure>(&read)) {
@@ -237,7 +237,8 @@
             co_return outcome;
         }
         if (piece.last) {
-            outcome.result = error{error_code::incomplete, run_state::in_doubt, "the stream ended mid-event"};
+            outcome.result =
+                error{error_code::incomplete, run_state::in_doubt, "the stream ended within an event"};
             co_return outcome;
         }
     }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -19,24 +19,24 @@
 
 constexpr const char* member_kind = "gateways";
 
-/// Entries of replicas that lapse while the store is away are back within some two seconds of its return, if
-/// the replica lives; until then the replica stays in use.
+/// Replica entries that expire during a store outage are renewed within two seconds of its end if the replica
+/// is alive; the replica stays in use until then.
 constexpr milliseconds expiry_grace{2200};
-/// A removal this long after the store's last failure is no lapse of an outage any more.
+/// A removal within this time of the store's last failure may be caused by the outage.
 constexpr milliseconds outage_window{3000};
 
-/// A request is held after the loss of two replicas that this gateway sent it to, or of three in all: an
-/// innocent one may be under way at two gateways when replicas are lost at the same moment.
+/// A request is quarantined after losing two replicas here, or three across all gateways: a harmless request
+/// may be in flight at two gateways when replicas are lost at the same time.
 constexpr policy::quarantine_limits crash_limits{2, 3};
 
 constexpr milliseconds housekeeping_interval{100};
-/// A VM that knows no other asks the store again who there is, after the first pause and then twice as long
-/// each time: a list that failed is made up for soon, and a fleet of one costs two calls a minute.
+/// Bounds of the exponential backoff with which a VM that knows no other lists the members in the store
+/// again. A fleet of one costs two calls a minute.
 constexpr milliseconds min_discovery_delay{500};
 constexpr milliseconds max_discovery_delay{30000};
 constexpr milliseconds register_retry_delay{1000};
 
-/// Callers are given at most this many addresses.
+/// Most addresses returned to a caller.
 constexpr std::size_t max_addresses = 64;
 
 void log_unreadable(const std::string& kind, const std::string& name, const error& why)
@@ -74,7 +74,7 @@
     weights_updater weights;
     net::http_service peers;
     bool draining = false;
-    std::optional<std::vector<std::string>> registered; ///< VMs that the store names
+    std::optional<std::vector<std::string>> registered; ///< VMs registered in the store, once listed
 
     net::task<void> serve_peer(const net::http_request& request, net::responder& answer);
     net::task<void> run_housekeeping();
@@ -106,8 +106,8 @@
       versions(schema.versions, [this](const object_change& change) { on_version(change); }),
       batch_headers(batch_kind, [this](const object_change& change) { on_batch(change); }),
       retirements(schema.retirements, [this](const object_change& change) { on_retirement(change); }),
-      // A VM that serves no callers uses neither replicas nor versions nor batches; the news of them would be
-      // most of what it is sent.
+      // A VM that serves no callers does not use replicas, versions or batches; their updates would be most
+      // of its traffic.
       feeds(loop, store, relay, fleet, crashes,
             {{&configurations},
              {&replicas, serves_callers()},
@@ -144,7 +144,7 @@
     }
     const auto decoded = schema.decode_replica(object);
     if (!ok(decoded)) {
-        // Another writer's entry names no replica to use; the others hold.
+        // Drop only the replica of the unreadable entry.
         log_unreadable(schema.replicas, object.name, failure(decoded));
         targets.remove(object.name, steady::now());
         replicas_changed();
@@ -201,8 +201,8 @@
     runner.update_header(value(header));
 }
 
-// Nothing that must last stands on a VM: batches and their results are in the store. So a VM that is to be
-// emptied is empty at once.
+// A VM holds no durable state, since batches and their results are in the store. So its retirement completes
+// at once.
 void gateway::state::on_retirement(const object_change& change)
 {
     if (!change.removed && change.object.name == fleet.self() &&
@@ -260,9 +260,9 @@
     fleet.add_peers(std::move(addresses));
 }
 
-// The seeds of the settings may all be gone when a VM starts; the store names who was there. Of VMs that
-// start at the same moment each reads the names after it has written its own, so the later of any two finds
-// the other; read before, all of them may find nobody and stay apart for good.
+// The configured seeds may all be dead when a VM starts, so members are registered in the store. Each VM
+// registers before it lists: of two VMs starting together, at least one then sees the other. Listing first
+// could leave both isolated for good.
 net::task<void> gateway::state::discover_members()
 {
     while (!co_await register_member()) {
@@ -280,7 +280,8 @@
     }
 }
 
-// VMs that were replaced stay registered; where there are such, the time since the start decides.
+// Replaced VMs stay registered, so this may never become true; the batch runner then relies on the time since
+// the start.
 bool gateway::state::sees_all_registered() const
 {
     const auto living = fleet.peers();
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -1,4 +1,4 @@
-/// The gateway: callers' requests, batches and weights in front of a fleet of replicas.
+/// The gateway: serves callers' requests and batches from a fleet of replicas and updates their weights.
 #ifndef VANILLAGAUGE_GATEWAY_GATEWAY_HPP
 #define VANILLAGAUGE_GATEWAY_GATEWAY_HPP
 
@@ -22,26 +22,26 @@
 
 namespace vanillagauge::gateway {
 
-/// A model's version of weights, as a trainer named it.
+/// A version of a model's weights, announced by a trainer.
 struct model_version {
     std::string model;
     std::uint64_t version = 0;
 };
 
-/// Where the operator's, the replicas' and the trainers' objects stand in the store, and how they are read.
+/// Kinds, names and decoders of the store objects written by operators, replicas and trainers.
 struct store_schema {
-    std::string replicas; ///< kinds of objects
+    std::string replicas; ///< object kinds, up to `retirements`
     std::string configurations;
     std::string versions;
     std::string retirements;
-    std::string current_configuration; ///< the name of the one that counts
+    std::string current_configuration; ///< name of the configuration in force
     std::function<result<replica>(const stored_object&)> decode_replica;
     std::function<result<configuration>(const stored_object&)> decode_configuration;
     std::function<result<model_version>(const stored_object&)> decode_version;
-    nlohmann::json retirement_done; ///< the status of a VM that holds nothing any more
+    nlohmann::json retirement_done; ///< status of a VM that may be removed
 };
 
-/// A gateway that callers can be sent to.
+/// Gateways that callers can connect to.
 struct gateway_addresses {
     std::vector<std::string> front_addresses;
     milliseconds cache_time{0};
@@ -56,27 +56,24 @@
     gateway(const gateway&) = delete;
     gateway& operator=(const gateway&) = delete;
 
-    // Commands.
-    /// `front_address` is where callers reach this VM; empty: it serves none.
+    /// `front_address` is announced to callers; empty if this VM serves none.
     result<done> open(const std::string& front_address);
-    /// Takes over what may change while the program runs; the rest counts from the next start.
+    /// Applies the settings that may change at run time; the rest takes effect at the next start.
     void reload(const config::settings& changed);
-    /// No new work is to come; what is under way goes on, and what cannot end in time is refused.
+    /// Announces the drain. Work in flight continues; requests that the plan does not accept are refused.
     void drain(std::shared_ptr<const policy::stop_plan> plan);
-    /// Nothing is under way, or the time is over.
+    /// Announces that this VM leaves; call when no work is left or the stop's time is over.
     void leave();
-    /// Ends the connections with other gateways; from another thread, before the loop stops.
+    /// Closes the connections to other gateways; call from another thread, before the loop stops.
     void close();
     /// Forwards a request of a plain, once-only or streaming route.
     net::task<void> forward(route chosen, caller_request request, net::responder& answer);
 
-    // Queries.
-    /// Version 0 while none is known.
+    /// Has version 0 until one is loaded.
     const configuration& current_configuration() const;
     bool ready() const;
-    /// Batches that run here.
     std::size_t batches_running() const;
-    /// Gateways to connect to; empty where none can serve.
+    /// Gateways that accept callers; empty if none does.
     gateway_addresses addresses() const;
     batch_service& batches();
     std::string metrics_page() const;
--- a/src/gateway/internal/forwarded_call.hpp
+++ b/src/gateway/internal/forwarded_call.hpp
@@ -1,4 +1,4 @@
-/// One caller's request on its way through a gateway.
+/// State of one request while the gateway forwards it.
 #ifndef VANILLAGAUGE_GATEWAY_INTERNAL_FORWARDED_CALL_HPP
 #define VANILLAGAUGE_GATEWAY_INTERNAL_FORWARDED_CALL_HPP
 
@@ -12,19 +12,19 @@
 struct forwarder::call {
     const route& chosen;
     const caller_request& request;
-    net::responder* answer; ///< null: a call of the gateway's own
+    net::responder* answer; ///< null for an internal call
     time_point deadline;
-    observe::span span;                       ///< the request's way through this gateway
+    observe::span span;                       ///< of the request in this gateway
     observe::trace_context attempt_context{}; ///< of the attempt in flight
     std::string replica{};                    ///< of the attempt in flight
-    time_point sent_at{};                     ///< when it was sent there
+    time_point sent_at{};                     ///< of the attempt in flight
     std::string service{};
     policy::work work{};
     std::uint64_t fingerprint = 0;
     int attempts = 0;
     int internal_errors = 0; ///< replicas that answered 500
     bool client_gone = false;
-    bool response_started = false; ///< the head of a stream has gone to the client
+    bool response_started = false; ///< the head of a stream was sent to the client
     std::optional<std::uint64_t> last_event{};
     std::shared_ptr<net::http_connection> connection{}; ///< of the attempt in flight
 
@@ -36,10 +36,10 @@
     }
 };
 
-/// What one replica did with the request.
+/// Outcome of an attempt at one replica.
 struct forwarder::attempt_outcome {
     std::variant<net::http_response, error> result = error{};
-    bool finished_stream = false; ///< the client has the whole stream
+    bool finished_stream = false; ///< the client received the complete stream
     bool not_run = false;
     std::optional<policy::load_report> load{};
     std::string replica{};
--- a/src/gateway/internal/sync_messages.cpp
+++ b/src/gateway/internal/sync_messages.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::int64_t max_wait_ms = 60LL * 1000;
-/// No gateway remembers a failure or a crash for longer; one that says so is none.
+/// No gateway keeps a failure or a crash record for longer; larger values are clamped.
 constexpr std::int64_t max_record_age_ms = 24LL * 3600 * 1000;
 
 milliseconds bounded(const json& document, std::int64_t max_ms)
@@ -59,8 +59,7 @@
 
 result<sync_request> sync_request_from_json(const json& document)
 {
-    error malformed{error_code::invalid_argument, run_state::not_run,
-                    "expected a gateway's question for news"};
+    error malformed{error_code::invalid_argument, run_state::not_run, "malformed sync request"};
     return decode<sync_request>(document, std::move(malformed), [](const json& from) {
         return sync_request{bounded(from.at("wait_ms"), max_wait_ms),
                             from.at("since").get<std::map<std::string, std::uint64_t>>(),
@@ -85,7 +84,7 @@
 
 result<sync_response> sync_response_from_json(const json& document)
 {
-    error malformed{error_code::unavailable, run_state::in_doubt, "expected a gateway's news"};
+    error malformed{error_code::unavailable, run_state::in_doubt, "malformed sync response"};
     return decode<sync_response>(
         document, std::move(malformed), [](const json& from) -> result<sync_response> {
             sync_response response;
--- a/src/gateway/peer_relay.cpp
+++ b/src/gateway/peer_relay.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-/// A slow store still answers within it, also through a peer.
+/// Enough for a slow store, also through a peer.
 constexpr milliseconds call_timeout{3000};
 constexpr milliseconds relay_timeout{1500};
 
-/// How long peers are asked first after the direct way failed: each try that is refused costs a call.
+/// After a direct failure, time during which peers are tried first: every refused attempt costs a call.
 constexpr milliseconds direct_retry_interval{1000};
 
 constexpr std::size_t max_relays = 2;
@@ -145,8 +145,8 @@
     co_return last;
 }
 
-// Every call here may be made again: reads, creations under a name that says what is created, and updates
-// that name the revision they replace. A first try that is done late finds its condition gone.
+// Every call is safe to repeat: reads, creations under a name that identifies the content, and updates
+// conditional on a revision. If an earlier attempt is applied late, its condition no longer holds.
 net::task_of<store_answer> peer_relay::call(store_call wanted)
 {
     const auto until = steady::now() + call_timeout;
--- a/src/gateway/peer_relay.hpp
+++ b/src/gateway/peer_relay.hpp
@@ -1,7 +1,7 @@
-/// The store as it is reached from this VM: directly, or through a gateway that the store serves.
+/// Access to the store, directly or through another gateway.
 ///
-/// The store may refuse some VMs, or be cut off from them, while it serves the rest. A VM that then worked on
-/// with what it knew would send work to replicas that leave and answer by an old configuration.
+/// The store may be unreachable from some VMs while it serves the rest. Without the relay such a VM would
+/// send work to departed replicas and apply an old configuration.
 #ifndef VANILLAGAUGE_GATEWAY_PEER_RELAY_HPP
 #define VANILLAGAUGE_GATEWAY_PEER_RELAY_HPP
 
@@ -30,12 +30,12 @@
     net::task_of<stored_object> set_status(std::string kind, std::string name,
                                            nlohmann::json status) override;
 
-    /// Answers a call that a peer could not make itself; only directly, so that no call goes in circles.
+    /// Makes a store call for a peer, always directly, so that calls cannot loop.
     net::task<net::http_response> serve(const net::http_request& request);
-    /// One call to a peer; any failure is `unavailable`.
+    /// Posts `body` to a peer; any failure is `unavailable`.
     net::task_of<nlohmann::json> call_peer(std::string address, std::string path, nlohmann::json body,
                                            time_point until);
-    /// The direct way has failed lately and was not seen to work since.
+    /// Whether the last direct call failed.
     bool direct_fails() const { return direct_failed_; }
 
 private:
@@ -43,8 +43,8 @@
     object_store& direct_;
     const fleet_view& fleet_;
     std::map<std::string, std::unique_ptr<net::connection_pool>> pools_;
-    std::string last_good_;      ///< the relay address that served last
-    bool direct_failed_ = false; ///< so the next call asks a peer first
+    std::string last_good_;      ///< the peer address that last relayed a call
+    bool direct_failed_ = false; ///< the last direct call failed
     time_point direct_retry_{};
 
     net::task_of<store_answer> call(store_call wanted);
--- a/src/gateway/replica.hpp
+++ b/src/gateway/replica.hpp
@@ -1,4 +1,4 @@
-/// A replica of a service, as it says of itself.
+/// A replica of a service, as registered by itself.
 #ifndef VANILLAGAUGE_GATEWAY_REPLICA_HPP
 #define VANILLAGAUGE_GATEWAY_REPLICA_HPP
 
@@ -12,7 +12,7 @@
 
 struct replica {
     std::string id;
-    std::uint64_t started_unix_ms = 0; ///< start of this lifetime: an id may start again; 0: not told
+    std::uint64_t started_unix_ms = 0; ///< start of this instance; 0: unknown
     std::string service;
     std::string address;
     std::string failure_domain;
@@ -20,7 +20,7 @@
     bool draining = false;
     std::map<std::string, std::uint64_t> weights; ///< version by model
 
-    /// Names one lifetime; a replica that started again under its id is another one.
+    /// Identifies one run of the replica; a restart under the same id is another instance.
     std::string instance_id() const { return id + "@" + std::to_string(started_unix_ms); }
 
     friend bool operator==(const replica&, const replica&) = default;
--- a/src/gateway/store_call.cpp
+++ b/src/gateway/store_call.cpp
@@ -21,12 +21,12 @@
 
 error malformed_call()
 {
-    return {error_code::invalid_argument, run_state::not_run, "expected a call to the store"};
+    return {error_code::invalid_argument, run_state::not_run, "malformed store call"};
 }
 
 error malformed_answer()
 {
-    return {error_code::unavailable, run_state::in_doubt, "expected a gateway's answer"};
+    return {error_code::unavailable, run_state::in_doubt, "malformed answer to a store call"};
 }
 
 std::string_view name_of(store_operation operation)
--- a/src/gateway/target_protocol.hpp
+++ b/src/gateway/target_protocol.hpp
@@ -1,4 +1,4 @@
-/// The port to what callers and replicas speak: how requests, answers and orders look on the wire.
+/// Interface to the wire protocol of callers and replicas: requests, responses and orders.
 #ifndef VANILLAGAUGE_GATEWAY_TARGET_PROTOCOL_HPP
 #define VANILLAGAUGE_GATEWAY_TARGET_PROTOCOL_HPP
 
@@ -14,37 +14,38 @@
 
 namespace vanillagauge::gateway {
 
-/// One sending of a request to one replica.
+/// One attempt of a request at one replica.
 struct attempt_request {
     std::string attempt_id;
-    std::string replica_id; ///< any other replica refuses it
+    std::string replica_id; ///< the addressee; any other replica refuses the request
     std::optional<milliseconds> time_left{};
-    std::optional<std::uint64_t> resume_after{}; ///< the id of the last event that is already there
+    std::optional<std::uint64_t> resume_after{}; ///< id of the last event already received
 };
 
-/// What the head of a replica's answer says beside status and body.
+/// Metadata in the head of a replica's response.
 struct response_metadata {
     bool not_run = false;              ///< the replica states that it did not run the request
-    bool echoes_attempt = false;       ///< it carries the id that was sent
-    std::string authentication_code{}; ///< the replica's; empty: it carries none
+    bool echoes_attempt = false;       ///< it carries the attempt's id
+    std::string authentication_code{}; ///< of the replica; empty if absent
     std::optional<policy::load_report> load{};
-    std::uint64_t weights_version = 0; ///< 0: not told
+    std::uint64_t weights_version = 0; ///< 0: unknown
 };
 
-/// What an engine says of itself, some hundred milliseconds late.
+/// An engine's status report, some hundred milliseconds old.
 struct engine_report {
     std::uint64_t started_unix_ms = 0;
-    bool busy = false;                 ///< an order is being carried out
-    std::uint64_t orders_accepted = 0; ///< since its start
+    bool busy = false;                 ///< carrying out an order
+    std::uint64_t orders_accepted = 0; ///< since the engine started
     std::map<std::string, std::uint64_t> weights;
 };
 
-/// How requests that run are treated when new weights are loaded.
+/// Treatment of running requests while new weights are loaded.
 enum class load_mode {
-    keep_running, ///< they go on under the new version
+    keep_running, ///< they continue with the new version
     finish_first,
 };
 
+/// An order to load a version of weights.
 struct load_order {
     std::string replica_id;
     std::string model;
@@ -52,7 +53,7 @@
     load_mode mode = load_mode::keep_running;
     std::string holder;
     std::uint64_t fencing_token = 0;
-    std::uint64_t expected_orders = 0; ///< carried out only if the engine has taken this many
+    std::uint64_t expected_orders = 0; ///< condition: orders accepted by the engine so far
 };
 
 enum class order_outcome { accepted, already_done, conflict, fenced, other_replica, unknown_version, failed };
@@ -64,12 +65,12 @@
     target_protocol(const target_protocol&) = delete;
     target_protocol& operator=(const target_protocol&) = delete;
 
-    /// The request as a replica is to get it: the client's, with what concerns this attempt.
+    /// The client's request with the fields of this attempt, as sent to the replica.
     virtual net::http_request replica_request(net::http_request request,
                                               const attempt_request& attempt) const = 0;
     virtual response_metadata parse_metadata(int status, const net::http_fields& fields,
                                              const std::string& attempt_id) const = 0;
-    /// The version under which an event and those behind it were made, where the event tells one.
+    /// The weights version of this and later events, if the event states one.
     virtual std::optional<std::uint64_t> weights_version(const net::stream_event& event) const = 0;
 
     virtual net::http_request report_request(const replica& target) const = 0;
@@ -77,7 +78,7 @@
     virtual net::http_request order_request(const replica& target, const load_order& order) const = 0;
     virtual order_outcome parse_order(const net::http_response& response) const = 0;
 
-    /// The answer to a client whose request failed here.
+    /// The response to a client whose request failed in the gateway.
     virtual net::http_response error_response(const error& failure) const = 0;
 };
 
--- a/src/gateway/target_registry.cpp
+++ b/src/gateway/target_registry.cpp
@@ -28,13 +28,13 @@
 {
     const auto told = info.weights.find(model);
     const auto reported = told == info.weights.end() ? std::uint64_t{0} : told->second;
-    // Its entry in the store lags behind; its own answers do not. Weights never go back within a lifetime.
+    // The store entry lags behind the replica's responses. Versions never decrease within an instance.
     const auto seen = observed_versions.find(model);
     return std::max(reported, seen == observed_versions.end() ? std::uint64_t{0} : seen->second);
 }
 
-// A load of weights stops the runs for a second; taken whole, that one gap would make a fast engine look slow
-// and move its runs away.
+// Loading weights pauses streams for a second; unbounded, that one gap would make a fast engine look slow and
+// move its streams away.
 void target::record_event_gap(duration gap)
 {
     constexpr double smoothing = 0.1;
--- a/src/gateway/target_registry.hpp
+++ b/src/gateway/target_registry.hpp
@@ -1,4 +1,4 @@
-/// The replicas that may be sent work, with what this gateway has seen of each.
+/// The known replicas, with this gateway's observations of each.
 #ifndef VANILLAGAUGE_GATEWAY_TARGET_REGISTRY_HPP
 #define VANILLAGAUGE_GATEWAY_TARGET_REGISTRY_HPP
 
@@ -12,20 +12,20 @@
 
 namespace vanillagauge::gateway {
 
-/// One lifetime of a replica. Work in flight keeps it alive after it has left the registry.
+/// One instance of a replica. Work in flight keeps it alive after its removal from the registry.
 struct target {
     target(net::loop& loop, replica known) : info(std::move(known)), pool(loop, info.address) {}
 
     replica info;
     net::connection_pool pool;
-    int streams = 0;             ///< generations of batches in flight from here
-    time_point back_off_until{}; ///< gets no generation before
-    double mean_gap_ms = 0;      ///< moving mean of the time between its events; 0: not known
-    bool usable = true;          ///< not draining and not gone
-    std::map<std::string, std::uint64_t> observed_versions; ///< of weights by model, from its own answers
+    int streams = 0;             ///< batch generations in flight from this gateway
+    time_point back_off_until{}; ///< gets no new generation before
+    double mean_gap_ms = 0;      ///< moving mean of the time between stream events; 0: unknown
+    bool usable = true;          ///< neither draining nor removed
+    std::map<std::string, std::uint64_t> observed_versions; ///< weights version by model, from its responses
 
     std::uint64_t version_of(const std::string& model) const;
-    /// The time between two events of one run here.
+    /// Updates the mean with the time between two events of one stream.
     void record_event_gap(duration gap);
     void record_version(const std::string& model, std::uint64_t version);
 };
@@ -36,26 +36,24 @@
 public:
     explicit target_registry(net::loop& loop) : loop_(loop) {}
 
-    // Commands.
     void update(const replica& known);
-    /// Its entry is gone. Entries that lapse because the store was away come back within seconds of its
-    /// return, so where it was away lately the replica stays in use until `keep_until`.
+    /// Removes a replica whose entry was deleted, at `keep_until`. Entries that expired because of a store
+    /// outage are renewed soon after it, so after a recent outage the replica stays in use until then.
     void remove(const std::string& id, time_point keep_until);
-    /// Ends what `remove` has kept so far.
+    /// Completes the delayed removals that are due.
     void remove_expired(time_point now);
 
-    // Queries.
-    /// The usable replicas of a service.
+    /// Only usable replicas.
     std::vector<target_ref> of_service(const std::string& service) const;
     std::vector<target_ref> all() const;
     target_ref find(const std::string& instance_id) const;
-    /// Grows with each change.
+    /// Increases with each change.
     std::uint64_t generation() const { return generation_; }
 
 private:
     net::loop& loop_;
     std::map<std::string, target_ref> targets_;       ///< by id
-    std::map<std::string, time_point> removal_times_; ///< by id, for those whose entry is gone
+    std::map<std::string, time_point> removal_times_; ///< by id, of delayed removals
     std::uint64_t generation_ = 0;
 
     void drop(const std::string& id);
--- a/src/gateway/untrusted_json.hpp
+++ b/src/gateway/untrusted_json.hpp
@@ -1,4 +1,4 @@
-/// Reading JSON that another program wrote, which may be of any shape.
+/// Reading of JSON from other programs, which may be malformed.
 #ifndef VANILLAGAUGE_GATEWAY_UNTRUSTED_JSON_HPP
 #define VANILLAGAUGE_GATEWAY_UNTRUSTED_JSON_HPP
 
@@ -11,9 +11,9 @@
 
 namespace vanillagauge::gateway {
 
-/// What `read` makes of the text; where it throws json::exception, `otherwise` with the exception's words.
+/// Returns `read(document)`, or `malformed` with the message appended if it throws json::exception.
 ///
-/// An exception that leaves a task ends the program, and with it all requests under way.
+/// An exception that escapes a task ends the program and all requests in flight.
 template <class Value, class Read>
 result<Value> decode(const nlohmann::json& document, error malformed, Read read)
 {
@@ -26,21 +26,21 @@
     }
 }
 
-/// The member's text; empty where there is none, or where it is no text.
+/// The string member; empty if absent or not a string.
 inline std::string string_or_empty(const nlohmann::json& object, const char* member)
 {
     const auto found = object.is_object() ? object.find(member) : object.end();
     return found != object.end() && found->is_string() ? found->get<std::string>() : std::string{};
 }
 
-/// The member's whole number; the fallback where there is none, or where it is no such number.
+/// The integer member; the fallback if absent or not an integer.
 inline std::int64_t integer_or(const nlohmann::json& object, const char* member, std::int64_t fallback)
 {
     const auto found = object.is_object() ? object.find(member) : object.end();
     return found != object.end() && found->is_number_integer() ? found->get<std::int64_t>() : fallback;
 }
 
-/// The member; where there is none, null, which has no elements.
+/// The member, or null, which has no elements, if absent.
 inline const nlohmann::json& member_or_null(const nlohmann::json& object, const char* member)
 {
     static const nlohmann::json none;
