--- a/tests/gateway/configuration_tests.cpp
+++ b/tests/gateway/configuration_tests.cpp
@@ -14,7 +14,7 @@
     return made;
 }
 
-TEST(find_route, takes_the_longest_prefix_of_the_host)
+TEST(find_route, selects_longest_prefix_of_host)
 {
     configuration current;
     current.routes = {make_route("short", "a.example", "/x/"), make_route("long", "a.example", "/x/y/"),
@@ -25,7 +25,7 @@
     EXPECT_EQ(find_route(current, "c.example", "/x/"), nullptr);
 }
 
-TEST(pick_service, keeps_the_weights_of_a_split)
+TEST(pick_service, respects_split_weights)
 {
     route split;
     split.services = {{"large", 90}, {"small", 10}};
--- a/tests/gateway/deployment.hpp
+++ b/tests/gateway/deployment.hpp
@@ -1,4 +1,4 @@
-/// Gateways on loopback in front of a stand-in store and stand-in replicas.
+/// Gateways on loopback with a fake store and fake replicas.
 #ifndef VANILLAGAUGE_TESTS_GATEWAY_DEPLOYMENT_HPP
 #define VANILLAGAUGE_TESTS_GATEWAY_DEPLOYMENT_HPP
 
@@ -31,7 +31,7 @@
     return settings;
 }
 
-/// One gateway, as its program runs it.
+/// A gateway run by its program class.
 class running_gateway {
 public:
     running_gateway(const std::string& vm, const std::string& store, const std::vector<std::string>& seeds)
@@ -66,7 +66,7 @@
     std::string address_;
 };
 
-/// The outside world on a loop of its own, with a client that waits for its answers.
+/// Fake store, fake replicas and a blocking client on a separate loop, and gateways that use them.
 class deployment {
 public:
     deployment() : store_(loop_.context())
@@ -87,7 +87,7 @@
 
     const std::string& store_address() const { return store_address_; }
 
-    /// Runs on the outside world's loop.
+    /// Runs `work` on the store's loop.
     void modify_store(const std::function<void(standins::fake_store&)>& work)
     {
         std::promise<void> promise;
@@ -106,7 +106,7 @@
         return promise.get_future().get();
     }
 
-    /// Versions from 2 on have one more route, under /added/.
+    /// Versions from 2 on have an additional route, /added/.
     void put_configuration(std::uint64_t version)
     {
         const auto text = nlohmann::json::parse(R"({"Routes":[
@@ -150,7 +150,7 @@
         gateways.push_back(std::make_unique<running_gateway>(vm, store_address_, std::vector<std::string>{}));
         return *gateways.back();
     }
-    /// One without a front for callers.
+    /// Serves no callers.
     running_gateway& add_gateway_without_callers(const std::string& vm)
     {
         auto settings = make_settings(vm, store_address_, {});
@@ -158,7 +158,7 @@
         gateways.push_back(std::make_unique<running_gateway>(std::move(settings)));
         return *gateways.back();
     }
-    /// One that reaches the store at its second address.
+    /// Uses the store's second address.
     running_gateway& add_gateway_at_second(const std::string& vm)
     {
         gateways.push_back(
@@ -166,7 +166,7 @@
         return *gateways.back();
     }
 
-    /// Waits until the condition holds; false after ten seconds.
+    /// Waits until the condition holds; false on a time-out of ten seconds.
     static bool eventually(const std::function<bool()>& holds)
     {
         const auto until = steady::now() + seconds(10);
@@ -188,7 +188,7 @@
         return promise.get_future().get();
     }
 
-    /// The status of the answer; 0 where there was none.
+    /// The response status; 0 if there was no response.
     int status_of(const std::string& address, net::http_request request)
     {
         const auto outcome = send(address, std::move(request));
--- a/tests/gateway/feed_sync_tests.cpp
+++ b/tests/gateway/feed_sync_tests.cpp
@@ -7,13 +7,13 @@
 namespace vanillagauge::gateway {
 namespace {
 
-/// A configuration is to be in force everywhere this long after the store has acknowledged it.
+/// Limit from the store's acknowledgement of a configuration until every gateway applies it.
 constexpr milliseconds max_apply_time{2000};
 
 struct four_gateways : deployment {
     standins::fake_replica& replica = add_replica("r1", "plain");
 
-    /// The gateways of these places reach the store at its second address.
+    /// Gateways with these indexes use the store's second address.
     explicit four_gateways(const std::set<int>& at_second = {})
     {
         int place = 0;
@@ -32,7 +32,7 @@
             [](gateway& asked) { return asked.addresses().front_addresses.size(); });
     }
 
-    /// How long after now each gateway still answers 404 on the added route, at the longest.
+    /// Time until every gateway serves the added route.
     milliseconds time_until_all_serve_the_added_route()
     {
         const auto begun = steady::now();
@@ -47,10 +47,9 @@
     }
 };
 
-// The store falls silent to three of four gateways, on connections that look sound, whichever of them watch.
-// The operator adds a route. A gateway that took a watcher's "nothing new" for news would answer its callers
-// 404 until the watcher's connection is found dead.
-TEST(feed_sync, learns_of_a_configuration_while_the_store_is_silent_to_the_watchers)
+// Guards against a gateway that trusts a "no change" from a watcher to which the store stopped responding on
+// an open connection, and so misses a new route.
+TEST(feed_sync, applies_configuration_when_store_ignores_watchers)
 {
     for (const std::set<int>& silent : {std::set{1, 2, 3}, {0, 2, 3}, {0, 1, 3}, {0, 1, 2}}) {
         four_gateways all(silent);
@@ -68,9 +67,8 @@
     return at == std::string::npos ? 0 : std::stoul(page.substr(at + series.size()));
 }
 
-// Engines load new weights, and each one's entry changes. VMs that serve no callers took all of it, more than
-// anything else they sent and received, and used none. Those that watch for the others need it.
-TEST(feed_sync, tells_vms_without_callers_only_what_they_use)
+// Guards against sending replica updates to VMs that serve no callers and don't watch the store.
+TEST(feed_sync, sends_only_used_kinds_to_vms_without_callers)
 {
     deployment all;
     all.add_replica("r1", "plain");
@@ -95,21 +93,21 @@
             return entry.contains("Status");
         }));
     }
-    // Watches that wait from before the VMs knew each other end with the next change. Three watch on; the
-    // front may be one of them.
+    // Watches started before the VMs discovered each other end with the next change. Three remain, of which
+    // the front may be one.
     all.add_replica("r2", "plain");
     EXPECT_TRUE(deployment::eventually([&] { return knowing() <= 3; }));
 }
 
-// VMs that start at the same moment, with no seed that lives, find each other through the store.
-TEST(feed_sync, meets_gateways_that_started_at_the_same_moment)
+// Guards against VMs that start together without a live seed and stay isolated.
+TEST(feed_sync, discovers_gateways_started_simultaneously)
 {
     for (int turn = 0; turn < 3; ++turn) {
         four_gateways all;
     }
 }
 
-TEST(feed_sync, learns_of_a_configuration_while_the_store_refuses_everybody_for_a_moment)
+TEST(feed_sync, applies_configuration_after_brief_store_refusal)
 {
     four_gateways all;
     all.modify_store([](standins::fake_store& store) { store.faults.refuse = true; });
--- a/tests/gateway/feed_tests.cpp
+++ b/tests/gateway/feed_tests.cpp
@@ -20,7 +20,7 @@
                  }};
 };
 
-TEST(feed, tells_what_listing_again_found)
+TEST(feed, reports_changes_found_by_relisting)
 {
     watched_feed watched;
     watched.content.apply_listing({{"a", make_object("a", 5)}, {"b", make_object("b", 6)}}, 10, start);
@@ -28,9 +28,8 @@
     EXPECT_EQ(watched.seen, (std::vector<std::string>{"+a@5", "+b@6", "-a@5", "+b@12"}));
 }
 
-// A caller is answered by an old configuration after a newer one was in force here: an answer of the store,
-// or of another gateway, was long under way.
-TEST(feed, never_goes_back)
+// Guards against a delayed response that replaces a newer configuration by an older one.
+TEST(feed, ignores_stale_changes_and_listings)
 {
     watched_feed watched;
     watched.content.apply_changes({{{make_object("a", 9), false}}, 9}, start);
@@ -41,7 +40,7 @@
     EXPECT_EQ(watched.seen.size(), 1U);
 }
 
-TEST(feed, passes_changes_and_removals_on_to_another_gateway)
+TEST(feed, propagates_changes_and_removals)
 {
     watched_feed watcher;
     watched_feed other;
@@ -56,7 +55,7 @@
     EXPECT_EQ(other.seen.back(), "-a@5");
 }
 
-TEST(feed, ignores_a_gateway_that_knows_less)
+TEST(feed, ignores_older_update)
 {
     watched_feed slow;
     watched_feed quick;
@@ -66,10 +65,9 @@
     EXPECT_TRUE(quick.content.objects().contains("b"));
 }
 
-// A gateway lists the whole kind later than the watcher's watch began, on a day without changes. The
-// watcher's word is as good as new; a gateway that does not believe it asks the store for everything again
-// and again.
-TEST(feed, is_confirmed_by_a_watcher_whose_watch_began_earlier)
+// Guards against repeated full listings by a gateway that listed at a later revision than a watcher's idle
+// watch.
+TEST(feed, is_confirmed_by_update_at_older_revision)
 {
     watched_feed watcher;
     watched_feed other;
@@ -80,7 +78,7 @@
     EXPECT_EQ(other.content.as_of(), 30U);
 }
 
-TEST(feed, tells_a_gateway_that_follows_only_what_changed)
+TEST(feed, sends_only_changes_since_last_update)
 {
     watched_feed watcher;
     watched_feed other;
@@ -94,10 +92,9 @@
     EXPECT_EQ(other.seen, (std::vector<std::string>{"+a@5", "+b@6", "-a@5", "+c@16"}));
 }
 
-// A replica comes and goes while one watcher is away from the store; a gateway learned of it from another
-// one. The watcher has never seen it, so no removal that it could tell; the gateway would send to it for
-// good.
-TEST(feed, names_everything_to_a_gateway_that_may_know_what_this_copy_never_saw)
+// Guards against a gateway that keeps an object forever which this watcher missed and so can't report as
+// removed.
+TEST(feed, sends_all_names_if_removals_may_be_missing)
 {
     watched_feed watcher;
     watched_feed other;
@@ -109,8 +106,8 @@
     EXPECT_TRUE(other.content.objects().contains("b"));
 }
 
-// The watch tells of the end of an object that this copy never held: it passes that on all the same.
-TEST(feed, passes_on_the_end_of_what_it_never_held)
+// Guards against dropping the removal of an object that only the other gateway knows.
+TEST(feed, propagates_removal_of_unknown_object)
 {
     watched_feed watcher;
     watched_feed other;
@@ -121,8 +118,8 @@
     EXPECT_TRUE(other.content.objects().empty());
 }
 
-// An object comes again under its name after its end; a late word of that end must not remove it.
-TEST(feed, keeps_an_object_that_came_again)
+// Guards against an older removal that deletes a recreated object.
+TEST(feed, keeps_recreated_object)
 {
     watched_feed watcher;
     watched_feed other;
@@ -134,9 +131,8 @@
     EXPECT_EQ(other.content.objects().at("a").revision, 14U);
 }
 
-// A VM that watched for the others no longer does and has no use for the content: it must not be told later
-// that an old revision is current.
-TEST(feed, holds_nothing_once_it_has_forgotten)
+// Guards against content of an old revision that counts as current after a VM stopped watching.
+TEST(feed, is_empty_and_unsynced_after_reset)
 {
     watched_feed watched;
     watched.content.apply_listing({{"a", make_object("a", 5)}}, 10, start);
@@ -149,9 +145,8 @@
     EXPECT_EQ(watched.content.as_of(), 12U);
 }
 
-// A listing that was long under way tells of less than is known here already. What has gone since must still
-// reach the gateways that ask.
-TEST(feed, passes_ends_on_after_an_old_listing)
+// Guards against a stale listing that makes later removals unavailable to polling gateways.
+TEST(feed, propagates_removals_after_stale_listing)
 {
     watched_feed watcher;
     watched_feed other;
@@ -163,7 +158,7 @@
     EXPECT_TRUE(other.content.objects().empty());
 }
 
-TEST(feed, names_everything_once_removals_are_more_than_it_keeps)
+TEST(feed, sends_all_names_after_removal_overflow)
 {
     watched_feed watcher;
     watched_feed other;
@@ -179,12 +174,12 @@
     EXPECT_TRUE(other.content.objects().empty());
 }
 
-TEST(feed, keeps_what_this_gateway_wrote_until_the_watch_tells_it)
+TEST(feed, keeps_own_write_despite_stale_listing)
 {
     watched_feed watched;
     watched.content.apply_listing({}, 10, start);
     watched.content.apply_own_write(make_object("mine", 14));
-    watched.content.apply_listing({}, 12, start); // asked before the write
+    watched.content.apply_listing({}, 12, start); // requested before the write
     EXPECT_TRUE(watched.content.objects().contains("mine"));
 }
 
--- a/tests/gateway/forwarding_tests.cpp
+++ b/tests/gateway/forwarding_tests.cpp
@@ -14,11 +14,11 @@
 
 using standins::replica_fault;
 
-/// Of two replicas the one that looks slower is tried for every fourth request on average; that its turn has
-/// not come after so many has a chance below 10^-49.
+/// The replica that looks slower gets every fourth request on average; the chance that it gets none of so
+/// many is below 10^-49.
 constexpr int max_turns = 400;
 
-/// Gateways know of each other's lost replicas within this time.
+/// Gateways exchange crash records within this time.
 constexpr milliseconds crash_sync_time{2500};
 
 struct one_gateway : deployment {
@@ -44,7 +44,7 @@
             return runs;
         });
     }
-    /// The trace context with which a replica got the request.
+    /// The trace context that a replica received with the request.
     std::string trace_of(const std::string& id)
     {
         return inspect_store<std::string>([&](standins::fake_store&) {
@@ -58,7 +58,7 @@
             return std::string{};
         });
     }
-    /// Whether to go on with requests: the first replica has not yet shown all its faults.
+    /// Whether to send more requests because the first replica has scripted faults left.
     bool first_has_faults_left(int turn)
     {
         return turn < max_turns &&
@@ -73,7 +73,7 @@
     }
 };
 
-TEST(forwarding, passes_the_replicas_answer_on_unchanged)
+TEST(forwarding, returns_replica_response_unchanged)
 {
     one_gateway all;
     const auto outcome = all.send(all.served.address(), make_request("/safe/1", "a1"));
@@ -84,7 +84,7 @@
     EXPECT_TRUE(response.body.ends_with("to hello"));
 }
 
-TEST(forwarding, answers_404_only_where_a_configuration_is_known)
+TEST(forwarding, answers_404_only_with_configuration)
 {
     one_gateway all;
     EXPECT_EQ(all.status_of(all.served.address(), make_request("/none/1", "a1")), 404);
@@ -95,9 +95,8 @@
     EXPECT_FALSE(served.ready());
 }
 
-// A replica resets the connection after it has run the request. A check may run again elsewhere, so its
-// caller never notices.
-TEST(forwarding, repeats_an_idempotent_request_at_another_replica)
+// Guards against a caller that sees a replica's reset of an idempotent request.
+TEST(forwarding, retries_idempotent_request_at_another_replica)
 {
     one_gateway all;
     all.modify_store([&](standins::fake_store&) { all.first.script = {replica_fault::reset}; });
@@ -112,9 +111,8 @@
     EXPECT_EQ(runs, turns + 1) << "one of them was repeated";
 }
 
-// A charge is cut off by its replica. It may have run: it must not be sent again, and the answer must not
-// promise that it did not run.
-TEST(forwarding, never_repeats_a_request_that_may_have_run_once)
+// Guards against a second run of a request that is not idempotent, and a response that claims it has not run.
+TEST(forwarding, never_retries_unsafe_request_in_doubt)
 {
     one_gateway all;
     all.script({replica_fault::reset});
@@ -123,7 +121,7 @@
     EXPECT_EQ(all.runs_of("a1"), 1U);
 }
 
-TEST(forwarding, takes_a_request_elsewhere_that_a_replica_did_not_run)
+TEST(forwarding, retries_request_that_replica_did_not_run)
 {
     one_gateway all;
     all.modify_store([&](standins::fake_store&) { all.first.script = {replica_fault::shed}; });
@@ -134,8 +132,8 @@
     EXPECT_FALSE(all.first_has_faults_left(0));
 }
 
-// Every replica refuses. The caller hears at once that nothing ran and when to come back.
-TEST(forwarding, refuses_at_once_and_says_when_to_come_back)
+// Guards against a late refusal, or one without Retry-After, when every replica sheds load.
+TEST(forwarding, refuses_with_retry_after_if_all_replicas_shed)
 {
     one_gateway all;
     all.script({replica_fault::shed, replica_fault::shed});
@@ -146,8 +144,7 @@
     EXPECT_EQ(all.runs_of("a1"), 0U);
 }
 
-// A replica answers with another request's id, or without its authentication code. Such an answer reaches
-// nobody.
+// Guards against delivery of a response with another request's id or without the authentication code.
 TEST(forwarding, drops_answers_that_belong_to_another_request)
 {
     for (const auto fault : {replica_fault::other_attempt, replica_fault::no_stamp}) {
@@ -165,7 +162,7 @@
     }
 }
 
-TEST(forwarding, answers_when_the_routes_time_is_over)
+TEST(forwarding, enforces_route_timeout)
 {
     one_gateway all;
     all.script({replica_fault::silent});
@@ -177,7 +174,7 @@
     EXPECT_LT(took, milliseconds(1500));
 }
 
-TEST(forwarding, hands_on_what_is_left_of_the_deadline)
+TEST(forwarding, propagates_remaining_deadline)
 {
     one_gateway all;
     EXPECT_EQ(all.status_of(all.served.address(), make_request("/once/1", "a1")), 200);
@@ -195,8 +192,8 @@
     EXPECT_GT(std::stoi(left), 500);
 }
 
-// The client leaves while the replica works: the replica must hear of it.
-TEST(forwarding, stops_the_replica_when_its_client_leaves)
+// Guards against a replica that works on after the client has disconnected.
+TEST(forwarding, cancels_at_replica_when_client_disconnects)
 {
     one_gateway all;
     all.modify_store([&](standins::fake_store&) {
@@ -211,7 +208,7 @@
     EXPECT_EQ(all.runs_of("a1"), 1U);
 }
 
-TEST(forwarding, sends_nothing_to_a_replica_that_drains_or_is_gone)
+TEST(forwarding, sends_nothing_to_draining_replica)
 {
     one_gateway all;
     all.put_replica(all.first, "plain", "draining");
@@ -227,7 +224,7 @@
               before);
 }
 
-TEST(forwarding, takes_over_new_configurations_also_after_the_history_was_lost)
+TEST(forwarding, applies_configuration_after_store_history_loss)
 {
     one_gateway all;
     all.modify_store([](standins::fake_store& store) { store.forget_history(); });
@@ -241,7 +238,7 @@
     EXPECT_EQ(all.status_of(all.served.address(), make_request("/safe/1", "a1")), 404);
 }
 
-/// A request for a stream: only those carry counts of tokens.
+/// Streaming requests carry token counts.
 net::http_request make_stream_request(const std::string& id)
 {
     auto request = make_request("/flow/1", id);
@@ -249,10 +246,9 @@
     return request;
 }
 
-// A request resets the connection of each replica that begins to run it. Its caller brings it again, each
-// time at another gateway. After a few losses it is refused everywhere as not run; each gateway by itself
-// would let it take two replicas more.
-TEST(forwarding, holds_a_request_that_loses_replicas_at_every_gateway)
+// Guards against a request that crashes replicas and is retried by its caller at one gateway after the other,
+// each of which would allow it two more.
+TEST(forwarding, quarantines_crashing_request_at_every_gateway)
 {
     deployment all;
     std::vector<standins::fake_replica*> replicas;
@@ -298,7 +294,7 @@
         EXPECT_EQ(all.status_of(gateway->address(), make_request("/once/bad", "q")), 429);
     }
     EXPECT_EQ(seen().runs, before);
-    // Others are served all the while.
+    // Other requests are still served.
     all.modify_store([&](standins::fake_store&) {
         for (auto* replica : replicas) {
             replica->script.clear();
@@ -317,8 +313,8 @@
     return spans;
 }
 
-// A caller's trace goes on through the gateway to the replica: one hop for the request, one for each attempt.
-TEST(forwarding, writes_a_span_for_each_hop_of_a_callers_trace)
+// Guards against a caller's trace that breaks at the gateway.
+TEST(forwarding, writes_span_per_request_and_attempt)
 {
     const auto path = testing::TempDir() + "vg-gateway-spans-" + std::to_string(getpid());
     const std::string trace(32, 'a');
@@ -344,8 +340,8 @@
     EXPECT_EQ(all.trace_of("traced"), "00-" + trace + "-" + attempt["spanId"].get<std::string>() + "-01");
 }
 
-// A replica breaks off in the middle of an event. The client sees one stream, whole and in order, because
-// another replica goes on behind the last event that was whole.
+// Guards against a lost or repeated event when a replica fails within an event and another one resumes the
+// stream.
 TEST(forwarding, resumes_a_stream_at_another_replica)
 {
     deployment all;
--- a/tests/gateway/store_call_tests.cpp
+++ b/tests/gateway/store_call_tests.cpp
@@ -14,7 +14,7 @@
     return {"r1", 7, {{"n", 1}}, {{"s", true}}};
 }
 
-/// Some JSON of a shape that a gateway may meet where another program answers.
+/// JSON as another program might send it.
 json any_json()
 {
     const auto shapes =
@@ -23,7 +23,7 @@
     return *rc::gen::elementOf(shapes);
 }
 
-/// The text with the value at one of its places replaced, or with the place left out.
+/// A copy with one of its values replaced or removed.
 json mutated(const json& whole)
 {
     auto flat = whole.flatten();
@@ -48,7 +48,7 @@
     return {operation, "servers", "r1", {{"n", 1}}, 7};
 }
 
-TEST(store_call, is_the_same_behind_the_wire)
+TEST(store_call, round_trips_through_json)
 {
     const auto sent = make_call(store_operation::replace);
     const auto read = value(store_call_from_json(to_json(sent)));
@@ -59,7 +59,7 @@
     EXPECT_EQ(read.revision, sent.revision);
 }
 
-TEST(store_answer, is_the_same_behind_the_wire)
+TEST(store_answer, round_trips_through_json)
 {
     const auto object =
         value(store_answer_from_json(store_operation::read, to_json(result<store_answer>{make_object()})));
@@ -76,8 +76,8 @@
     EXPECT_EQ(failure(read).current, "{}");
 }
 
-// The answer comes from another program on a reused address: it must not look as if nothing was done.
-TEST(store_answer, of_another_shape_is_in_doubt)
+// Guards against treating another program's response on a reused address as proof that nothing was done.
+TEST(store_answer, malformed_is_in_doubt)
 {
     for (const auto& text : {json(), json::object(), json::array(), json{{"done", json::object()}}}) {
         const auto read = store_answer_from_json(store_operation::create, text);
@@ -87,9 +87,8 @@
     }
 }
 
-// Whatever stands where: a value of the right type or a typed error, and never an exception, which would end
-// the gateway.
-RC_GTEST_PROP(gateways_messages, of_any_shape_throw_nothing, ())
+// Guards against an exception on malformed messages, which would end the gateway.
+RC_GTEST_PROP(gateways_messages, malformed_never_throw, ())
 {
     const auto operation = *rc::gen::element(store_operation::read, store_operation::list,
                                              store_operation::replace, store_operation::set_status);
--- a/tests/gateway/untrusted_input_tests.cpp
+++ b/tests/gateway/untrusted_input_tests.cpp
@@ -9,7 +9,7 @@
 
 using nlohmann::json;
 
-/// A gateway's relay to the store, without the rest of the gateway.
+/// A store relay without the rest of the gateway.
 struct standalone_relay : deployment {
     wire::event_loop loop;
     platform::platform_store store{loop.context(), store_address()};
@@ -35,9 +35,9 @@
     }
 };
 
-// Another program's client calls the port that a gateway's relay has now. Each such call must be refused; an
-// exception that left it ended the gateway, and with it every request under way.
-TEST(untrusted_input, to_the_relay_is_refused)
+// Guards against an exception on malformed calls, as by another program's client on a reused port, that ends
+// the gateway.
+TEST(untrusted_input, relay_refuses_malformed_calls)
 {
     standalone_relay all;
     for (const auto* body :
@@ -53,9 +53,9 @@
     EXPECT_EQ(json::parse(served.body)["done"]["name"], "main");
 }
 
-// Somebody else writes into the kinds that the gateways use among themselves. The gateways pass over what
-// they can't read; an exception there ended each gateway that read it, also after each restart.
-TEST(untrusted_input, in_the_gateways_own_kinds_is_passed_over)
+// Guards against an exception on malformed objects in the gateways' own kinds that ends every gateway reading
+// them.
+TEST(untrusted_input, gateway_ignores_malformed_objects)
 {
     deployment all;
     all.add_replica("r1", "plain");
--- a/tests/gateway/users_standins_tests.cpp
+++ b/tests/gateway/users_standins_tests.cpp
@@ -18,9 +18,9 @@
     }
 };
 
-// A client of another program keeps calling a port that its own service has left and the stand-in now has.
-// The stand-in must refuse and serve on: an exception that left it ended the whole test program.
-TEST(users_standins, refuse_the_calls_of_clients_that_look_for_another_service)
+// Guards against an exception on calls by another program's client on a reused port, which ends the test
+// program.
+TEST(users_standins, refuse_malformed_and_misdirected_calls)
 {
     users_standins all;
     auto& replica = all.add_replica("r1", "plain");
--- a/tests/stop/batch_at_stop_tests.cpp
+++ b/tests/stop/batch_at_stop_tests.cpp
@@ -8,8 +8,8 @@
 namespace vanillagauge::gateway {
 namespace {
 
-// Guards against a batch that stands still until the gateway which accepted it has ended.
-TEST(batch_at_stop, runs_elsewhere_before_the_stop_is_over)
+// Guards against a batch that waits until the gateway that accepted it has ended.
+TEST(batch_at_stop, runs_at_another_gateway_during_stop)
 {
     batch_deployment all;
     auto& stopping = all.ready_gateway("a");
--- a/tests/stop/closing_service_tests.cpp
+++ b/tests/stop/closing_service_tests.cpp
@@ -11,7 +11,7 @@
 
 using boost::asio::ip::tcp;
 
-/// A service whose handler takes a while, and a raw client.
+/// A service with a slow handler.
 struct slow_service {
     loop_thread thread;
     std::atomic<int> handled{0};
@@ -74,8 +74,8 @@
     return found;
 }
 
-// Guards against a request whose last byte comes after the service gave up, and that is handled and then cut.
-TEST(closing_service, answers_a_request_that_was_half_read_when_it_gave_up)
+// Guards against a request completed after the service gave up that is handled and then cut off.
+TEST(closing_service, answers_partially_read_request_after_give_up)
 {
     slow_service running(seconds(3));
     raw_client client(running.address);
@@ -95,8 +95,8 @@
     text.wait();
 }
 
-// Guards against a request that is read whole behind another one and thrown away.
-TEST(closing_service, answers_a_pipelined_request_that_it_has_read_while_draining)
+// Guards against a completely read pipelined request that is discarded.
+TEST(closing_service, answers_pipelined_request_while_draining)
 {
     slow_service running(milliseconds(400));
     raw_client client(running.address);
@@ -107,8 +107,8 @@
     EXPECT_EQ(count(client.read_all(), "HTTP/1.1 "), 2U);
 }
 
-// Guards against an answer that is cut although there is time for the rest of it.
-TEST(closing_service, goes_on_with_an_answer_that_has_begun_when_it_gives_up)
+// Guards against cutting off a started response although there is time to complete it.
+TEST(closing_service, completes_started_response_after_give_up)
 {
     loop_thread thread;
     std::promise<void> begun;
@@ -136,8 +136,8 @@
     EXPECT_EQ(text.find("HTTP/1.1 502"), std::string::npos);
 }
 
-// Guards against an answer of many socket buffers that is cut when the service closes.
-TEST(closing_service, sends_a_large_answer_whole)
+// Guards against a response larger than the socket buffers that is cut off when the service closes.
+TEST(closing_service, sends_large_response_completely)
 {
     loop_thread thread;
     http_service service(
@@ -159,8 +159,8 @@
     EXPECT_GT(client.read_all().size(), 32U << 20U);
 }
 
-// Guards against a request that came while the loop was held up and is thrown away with an idle connection.
-TEST(closing_service, answers_what_came_while_the_loop_was_held_up)
+// Guards against closing a connection as idle although a request arrived while the loop was blocked.
+TEST(closing_service, answers_request_received_while_loop_blocked)
 {
     for (int turn = 0; turn < 5; ++turn) {
         slow_service running(milliseconds(1));
@@ -175,7 +175,7 @@
     }
 }
 
-// Guards against a wait without end for a loop that was stopped from its own thread.
+// Guards against an endless wait for a loop that was stopped on its own thread.
 TEST(event_loop, runs_work_after_a_stop_on_its_own_thread)
 {
     auto loop = std::make_unique<wire::event_loop>();
--- a/tests/stop/keeper_link_tests.cpp
+++ b/tests/stop/keeper_link_tests.cpp
@@ -13,7 +13,7 @@
 
 constexpr milliseconds long_enough{5000};
 
-/// Holds each question for as long as it may wait, as a keeper without news does.
+/// Holds each request for its full wait time, like a keeper without changes.
 class recording_keeper final : public v1::KeeperLocal {
 public:
     explicit recording_keeper(wire::event_loop& loop) : loop_(loop) {}
@@ -38,9 +38,8 @@
     wire::event_loop& loop_;
 };
 
-// Guards against a program that ends before its keeper knows, so that its work stays with a process that is
-// gone.
-TEST(stopping_program, has_told_its_keeper_that_it_drains)
+// Guards against a program that ends before its keeper knows, so that work stays assigned to it.
+TEST(stopping_program, reports_draining_to_its_keeper)
 {
     wire::event_loop loop;
     recording_keeper keeper(loop);
--- a/tests/stop/kept_connection_drain_tests.cpp
+++ b/tests/stop/kept_connection_drain_tests.cpp
@@ -20,7 +20,7 @@
 
 constexpr std::string_view last_chunk = "\r\n0\r\n\r\n";
 
-/// Begins a stream, and ends it when the test says so.
+/// Starts a stream and ends it on `release`.
 class paused_stream final : public target::v1::Engine {
 public:
     std::promise<void> release;
@@ -41,8 +41,8 @@
     std::future<void> ending_;
 };
 
-// Guards against a request that is dropped unanswered on a connection whose last answer promised to keep it.
-TEST(kept_connection, is_not_closed_behind_a_stream_that_began_before_the_stop)
+// Guards against dropping a request on a connection whose last response announced keep-alive.
+TEST(kept_connection, stays_open_after_stream_started_before_stop)
 {
     paused_stream engine;
     dispatcher calls{{}};
--- a/tests/stop/peer_server_close_tests.cpp
+++ b/tests/stop/peer_server_close_tests.cpp
@@ -6,8 +6,8 @@
 namespace vanillagauge::wire {
 namespace {
 
-// Guards against a process that keeps its callers' connections open while it waits for a loop that has ended.
-TEST(peer_server, closes_without_a_wait_once_its_loop_has_ended)
+// Guards against holding callers' connections open while waiting for a stopped loop.
+TEST(peer_server, closes_without_waiting_for_stopped_loop)
 {
     constexpr milliseconds loss_slack{200};
     const dispatcher calls({});
--- a/tests/stop/planned_stop_tests.cpp
+++ b/tests/stop/planned_stop_tests.cpp
@@ -14,16 +14,16 @@
 using tests::sent_request;
 using tests::stop_client;
 
-/// How long a connection may stand after a request before its end without an answer counts as a loss.
+/// A connection closed without a response counts as a loss if it was open longer than this after the request.
 constexpr milliseconds loss_slack{200};
 /// From SIGTERM to SIGKILL.
 constexpr milliseconds stop_grace{6000};
 constexpr milliseconds short_grace{1800};
 constexpr milliseconds work_time{150};
-/// For callers to connect and to have a first answer.
+/// Time for all callers to connect and get a first response.
 constexpr milliseconds all_connected{3000};
 
-/// One gateway before one replica, and what its callers saw.
+/// One gateway with one replica, and the outcomes of its callers' requests.
 class stopping_gateway : public testing::Test {
 protected:
     deployment world;
@@ -69,7 +69,7 @@
         });
     }
 
-    /// Requests that got neither an answer nor a refusal: they ran, or their connection stood open.
+    /// Requests without a response that ran, or whose connection was open longer than `loss_slack`.
     std::vector<std::string> unanswered()
     {
         std::vector<std::string> found;
@@ -81,7 +81,7 @@
         }
         return found;
     }
-    /// Refusals of requests that ran all the same.
+    /// Requests that were refused as not run but ran.
     std::vector<std::string> falsely_refused()
     {
         std::vector<std::string> found;
@@ -97,7 +97,7 @@
         return static_cast<std::size_t>(std::count_if(
             seen_.begin(), seen_.end(), [](const auto& request) { return request.status == 200; }));
     }
-    /// Refusals for the stop and not for the load.
+    /// Requests refused because of the stop, not of load.
     std::size_t refused_for_the_stop() const
     {
         return static_cast<std::size_t>(std::count_if(seen_.begin(), seen_.end(), [](const auto& request) {
@@ -105,7 +105,7 @@
         }));
     }
 
-    /// Callers that make a new connection for each request, until the gateway has ended.
+    /// Starts callers that open a new connection for each request until the gateway has ended.
     std::vector<std::thread> call_on_new_connections(int callers, milliseconds pause)
     {
         std::vector<std::thread> threads;
@@ -132,7 +132,7 @@
 
 using request_cut_at_planned_stop = stopping_gateway;
 
-// Guards against a request that is taken up to the end of the process and dies with it.
+// Guards against accepting requests until the process ends, which loses them.
 TEST_F(request_cut_at_planned_stop, on_a_new_connection_under_load)
 {
     auto callers = call_on_new_connections(6, milliseconds(1));
@@ -146,7 +146,7 @@
     EXPECT_EQ(refused_for_the_stop(), 0U);
 }
 
-// Guards against a request on a kept connection that is read when the process is about to end.
+// Guards against reading a request from a kept connection just before the process ends.
 TEST_F(request_cut_at_planned_stop, on_a_kept_connection)
 {
     constexpr int connections = 130;
@@ -176,7 +176,7 @@
     EXPECT_EQ(refused_for_the_stop(), 0U);
 }
 
-// Guards against a request that is still at its replica when the process ends.
+// Guards against a request still in flight at its replica when the process ends.
 TEST_F(request_cut_at_planned_stop, while_its_replica_is_silent)
 {
     served = start(short_grace);
@@ -198,7 +198,7 @@
 
 using connection_held_by_ended_gateway = stopping_gateway;
 
-// Guards against connections that the kernel takes for a process that serves nobody any more.
+// Guards against connections accepted by the kernel for a process that no longer serves.
 TEST_F(connection_held_by_ended_gateway, is_refused_or_served)
 {
     world.modify_store([this](standins::fake_store&) { replica.work_time = milliseconds(0); });
--- a/tests/stop/reload_tests.cpp
+++ b/tests/stop/reload_tests.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr milliseconds max_apply_time{2000};
-/// The store after the move has gone through all changes of the store before.
+/// Raises the new store's revision above the old store's.
 constexpr int earlier_changes = 50;
 
 class reloaded_gateway : public testing::Test {
@@ -45,8 +45,8 @@
     }
 };
 
-// Guards against a gateway that goes on waiting for news of the store before, while the new one has some.
-TEST_F(reloaded_gateway, hears_at_once_from_the_store_that_it_moves_to)
+// Guards against a gateway that keeps waiting on a watch of the old store.
+TEST_F(reloaded_gateway, watches_new_store_at_once)
 {
     const auto address_before = value(old_store.open());
     const auto first = world.inspect_store<nlohmann::json>(
@@ -58,7 +58,7 @@
     platform::gateway_program program(value(settings));
     ASSERT_TRUE(ok(program.open()));
     ASSERT_TRUE(deployment::eventually([&] { return version_at(program) == 1; }));
-    std::this_thread::sleep_for(milliseconds(800)); // it watches
+    std::this_thread::sleep_for(milliseconds(800)); // until it watches the store
 
     world.modify_store([](standins::fake_store& store) {
         for (int change = 0; change < earlier_changes; ++change) {
--- a/tests/stop/stop_client.cpp
+++ b/tests/stop/stop_client.cpp
@@ -27,7 +27,7 @@
     const auto text = "POST " + path + " HTTP/1.1\r\nHost: h\r\nAttempt-Id: " + id +
                       "\r\nDeadline-Ms: 2000\r\nContent-Length: 2\r\n\r\nhi";
     error_code failed;
-    // What has ended is no connection to send on; a client sees that before it sends.
+    // Like a real client, don't send on a connection that is already closed.
     char byte = 0;
     socket_.non_blocking(true, failed);
     socket_.receive(boost::asio::buffer(&byte, 1), boost::asio::socket_base::message_peek, failed);
--- a/tests/stop/stop_client.hpp
+++ b/tests/stop/stop_client.hpp
@@ -1,4 +1,4 @@
-/// A caller that blocks: what it saw of each request, and when.
+/// A blocking client that records the outcome and timing of each request.
 #ifndef VANILLAGAUGE_TESTS_STOP_STOP_CLIENT_HPP
 #define VANILLAGAUGE_TESTS_STOP_STOP_CLIENT_HPP
 
@@ -15,22 +15,22 @@
     std::string id;
     bool connected = false;
     bool sent = false;  ///< the connection was still open
-    int status = 0;     ///< 0: the connection ended without a whole answer
-    std::string body;   ///< of the answer
-    duration waited{0}; ///< from the last byte sent to the answer or the end
+    int status = 0;     ///< 0: the connection closed without a complete response
+    std::string body;   ///< of the response
+    duration waited{0}; ///< from the last byte sent to the response or the close
     time_point ended_at{};
 };
 
-/// One connection, used for one request after the other.
+/// One connection for consecutive requests.
 class stop_client {
 public:
     /// Connects at once.
     explicit stop_client(const std::string& address);
 
     bool connected() const { return connected_; }
-    /// Sends a request and waits for its answer or the end of the connection.
+    /// Sends a request and waits for the response or the close of the connection.
     sent_request send(const std::string& path, const std::string& id);
-    /// The last answer ended the connection, or the gateway did.
+    /// Whether the gateway or the last response closed the connection.
     bool closed() const { return closed_; }
 
 private:
--- a/tests/stop/stopping_gateway_tests.cpp
+++ b/tests/stop/stopping_gateway_tests.cpp
@@ -41,7 +41,8 @@
                                [&](const auto& run) { return run.attempt_id == id; });
         });
     }
-    /// Sends the text in two parts; the second at the given time. What came back, and how long after it.
+    /// Sends `first`, and `second` at the given time. Returns the response and the time it took after
+    /// `second`.
     std::pair<std::string, duration> send_in_two_parts(const std::string& first, const std::string& second,
                                                        time_point at)
     {
@@ -60,8 +61,8 @@
     }
 };
 
-// Guards against a caller that is told of a request which never left the queue that it may have run.
-TEST_F(request_at_stopping_gateway, refuses_as_not_run_what_still_waits_for_a_replica)
+// Guards against reporting a request that never left the queue as in doubt.
+TEST_F(request_at_stopping_gateway, refuses_queued_request_as_not_run)
 {
     start(milliseconds(1800));
     world.modify_store([this](standins::fake_store&) { replica.work_time = seconds(5); });
@@ -91,11 +92,11 @@
     EXPECT_EQ(in_doubt_but_never_run, 0);
 }
 
-// Guards against a batch read that is read whole while the gateway gives up: it waits and is cut.
-TEST_F(request_at_stopping_gateway, answers_a_batch_read_whose_last_byte_comes_as_it_gives_up)
+// Guards against cutting off a batch read that was received completely while the gateway gives up.
+TEST_F(request_at_stopping_gateway, answers_batch_read_completed_during_give_up)
 {
     world.add_replica("lm1", "lm");
-    start(milliseconds(3000)); // gives up 1.8 s after the order, ends 0.3 s later
+    start(milliseconds(3000)); // gives up 1.8 s after the stop order, ends 0.3 s later
     auto submission = make_request("/lots/b1", "b1");
     submission.body = R"({"Step":0,"Model":"m","MinVersion":9,"DesiredCount":1,"Items":[
         {"Id":"i1","Path":"/lots/1","Headers":{"Model":"m","Token-Counts":"5,5","Prompt-Prefix":"aa:5"},
@@ -115,8 +116,8 @@
     EXPECT_NE(text, "");
 }
 
-// Guards against callers that have not heard of the stop and find a closed port at once.
-TEST_F(request_at_stopping_gateway, takes_connections_for_a_while_where_the_grace_is_short)
+// Guards against closing the port before callers can have learned of the stop.
+TEST_F(request_at_stopping_gateway, accepts_connections_early_in_short_grace)
 {
     start(milliseconds(3000));
     std::thread stopping([&] { served->stop(); });
@@ -127,8 +128,8 @@
     stopping.join();
 }
 
-// Guards against the refusal of a quick request whose caller would wait longer than the process lives.
-TEST_F(request_at_stopping_gateway, serves_a_quick_request_whose_caller_is_patient)
+// Guards against refusing a fast request because its time limit exceeds the remaining life of the process.
+TEST_F(request_at_stopping_gateway, serves_fast_request_with_long_timeout)
 {
     start(milliseconds(8000));
     // Keeps the gateway busy, as a batch does.
@@ -142,7 +143,7 @@
             }
         }
     };
-    std::array<std::thread, 4> busy; // one alone would leave moments in which nothing is under way
+    std::array<std::thread, 4> busy; // a single one would leave gaps with nothing in flight
     for (auto& caller : busy) {
         caller = std::thread(keep_busy);
         std::this_thread::sleep_for(milliseconds(40)); // so that they don't end at the same moment
--- a/tests/stop/store_move_tests.cpp
+++ b/tests/stop/store_move_tests.cpp
@@ -18,7 +18,7 @@
 constexpr std::uint64_t far_revision = 1000;
 constexpr milliseconds watch_time{300};
 
-/// A store before and after the settings named another one.
+/// Two stores, and a client that moves from the old to the new one.
 class store_move : public testing::Test {
 protected:
     wire::event_loop loop;
@@ -55,13 +55,13 @@
     }
 };
 
-// Guards against calls that go to the store before, over the connection of a call that outlasted the move.
-TEST_F(store_move, takes_no_connection_of_the_store_before)
+// Guards against reusing a connection to the old store after a call that outlasted the move.
+TEST_F(store_move, does_not_reuse_connection_to_old_store)
 {
     loop.run([this] { new_store.put(kind, "x", {{"at", "after"}}); });
     auto watched = start<result<gateway::object_changes>>(
         [this] { return moved->watch(kind, far_revision, watch_time); });
-    std::this_thread::sleep_for(watch_time / 3); // the watch waits at the store before
+    std::this_thread::sleep_for(watch_time / 3); // the watch is pending at the old store
     loop.run([this] { moved->set_address(new_address); });
     watched.wait();
     const auto read = start<result<gateway::stored_object>>([this] { return moved->read(kind, "x"); }).get();
