--- a/src/gateway/admission_queue.cpp
+++ b/src/gateway/admission_queue.cpp
@@ -13,8 +13,8 @@
 } // namespace
 
 admission_queue::admission_queue(net::loop& loop, std::uint64_t seed, policy::pool_options options,
-                                 policy::wait_policy patience)
-    : scheduler_(seed, options, patience), changed_(loop)
+                                 policy::wait_policy wait_policy)
+    : scheduler_(seed, options, wait_policy), changed_(loop)
 {
 }
 
--- a/src/gateway/admission_queue.hpp
+++ b/src/gateway/admission_queue.hpp
@@ -17,7 +17,7 @@
 class admission_queue {
 public:
     admission_queue(net::loop& loop, std::uint64_t seed, policy::pool_options options,
-                    policy::wait_policy patience);
+                    policy::wait_policy wait_policy);
 
     /// Sets the service's current replicas.
     void update(const std::vector<target_ref>& targets, time_point now);
--- a/src/gateway/feed_sync.cpp
+++ b/src/gateway/feed_sync.cpp
@@ -296,7 +296,8 @@
 {
     const auto requested_at = steady::now();
     const auto known = crash_revisions_[address];
-    internal::sync_request request{poll_timeout, {}, crashes_.update_since(known.sent, requested_at), known.received};
+    internal::sync_request request{
+        poll_timeout, {}, crashes_.update_since(known.sent, requested_at), known.received};
     for (const auto& entry : feeds_) {
         if (entry.needed_here) {
             request.since[entry.content->kind()] = entry.content->synced() ? entry.content->as_of() : 0;
--- a/src/gateway/forwarder.cpp
+++ b/src/gateway/forwarder.cpp
@@ -61,9 +61,9 @@
             options.initial_limit = policy::background_capacity(slots);
             options.adaptive = false;
         }
-        const auto patience =
+        const auto wait_policy =
             current.internal() ? policy::wait_policy::until_deadline : policy::wait_policy::shed_early;
-        queue = std::make_unique<admission_queue>(loop_, random_(), options, patience);
+        queue = std::make_unique<admission_queue>(loop_, random_(), options, wait_policy);
         queue->update(replicas, steady::now());
     }
     return queue.get();
@@ -218,8 +218,8 @@
         return current.deadline;
     }
     const duration of_route = current.chosen.target_latency * hang_latency_factor;
-    const auto patience = current.internal() ? queue.hedge_delay() : of_route;
-    return std::min(current.deadline, now + std::max<duration>(patience, min_hang_timeout));
+    const auto hang_timeout = current.internal() ? queue.hedge_delay() : of_route;
+    return std::min(current.deadline, now + std::max<duration>(hang_timeout, min_hang_timeout));
 }
 
 // A request that is not repeatable is retried only if the replica stated, or a connection that was never made
--- a/tests/gateway/deployment.hpp
+++ b/tests/gateway/deployment.hpp
@@ -180,11 +180,11 @@
     }
 
     net::http_result<net::http_response> send(const std::string& address, net::http_request request,
-                                              milliseconds patience = milliseconds(5000))
+                                              milliseconds timeout = milliseconds(5000))
     {
         std::promise<net::http_result<net::http_response>> promise;
         loop_.post(
-            [&] { net::start(loop_.context(), exchange(address, std::move(request), patience, promise)); });
+            [&] { net::start(loop_.context(), exchange(address, std::move(request), timeout, promise)); });
         return promise.get_future().get();
     }
 
@@ -204,11 +204,11 @@
     }
 
 private:
-    net::task<void> exchange(std::string address, net::http_request request, milliseconds patience,
+    net::task<void> exchange(std::string address, net::http_request request, milliseconds timeout,
                              std::promise<net::http_result<net::http_response>>& promise)
     {
         net::http_connection connection(loop_.context());
-        const auto until = steady::now() + patience;
+        const auto until = steady::now() + timeout;
         const auto connected = co_await connection.connect(address, until);
         net::http_result<net::http_response> outcome = net::http_failure{};
         if (std::holds_alternative<done>(connected)) {
