--- a/src/gateway/fleet_view.cpp
+++ b/src/gateway/fleet_view.cpp
@@ -78,11 +78,11 @@
         relay.role = relay_role;
         relay.http_address = chosen.gateway.relay_listen;
         relay.draining = draining;
-        keeper.hear(relay, now);
+        keeper.update_process(relay, now);
         fleet::process front;
         front.role = front_role;
         front.http_address = front_open ? chosen.gateway.front_listen : std::string{};
-        keeper.hear(front, now);
+        keeper.update_process(front, now);
     }
 
     void announce_periodically()
@@ -125,7 +125,7 @@
 
 void fleet_view::add_peers(std::vector<std::string> peer_addresses)
 {
-    state_->exchange.learn_peers(std::move(peer_addresses));
+    state_->exchange.set_store_peers(std::move(peer_addresses));
 }
 
 void fleet_view::set_front_open(bool open)
--- a/src/keeper/gossip.cpp
+++ b/src/keeper/gossip.cpp
@@ -8,23 +8,23 @@
 namespace vanillagauge::keeper {
 namespace {
 
-constexpr milliseconds tick_every{50};
+constexpr milliseconds tick_interval{50};
 constexpr milliseconds exchange_timeout{2000};
-constexpr milliseconds seed_every{500};
+constexpr milliseconds seed_interval{500};
 /// Two operators' changes accepted on two VMs at once cross on their way: a VM may hold the higher version
 /// and lack the lower. Asking from this many revisions before the newest finds both in one pull.
-constexpr std::uint64_t overlap = 1024;
+constexpr std::uint64_t pull_overlap = 1024;
 /// An answer is cut here and asked on, so that no message nears the limit of a frame or of memory.
-constexpr std::size_t largest_pull = 256U << 10U;
+constexpr std::size_t max_pull_bytes = 256U << 10U;
 
 std::vector<fleet::member_update>
-claims_of(const google::protobuf::RepeatedPtrField<v1::MemberClaim>& messages)
+updates_from(const google::protobuf::RepeatedPtrField<v1::MemberClaim>& messages)
 {
-    std::vector<fleet::member_update> claims;
+    std::vector<fleet::member_update> updates;
     for (const auto& message : messages) {
-        claims.push_back(node::from_message(message));
+        updates.push_back(node::from_message(message));
     }
-    return claims;
+    return updates;
 }
 
 } // namespace
@@ -57,9 +57,9 @@
     }
     const auto now = steady::now();
     perform(state_.tick(now));
-    ask_a_seed(now);
+    contact_seed(now);
     peers_.close_idle(now);
-    loop_.after(tick_every, [this] { tick(); });
+    loop_.after(tick_interval, [this] { tick(); });
 }
 
 void gossip::receive(const fleet::datagram& message)
@@ -76,33 +76,33 @@
             datagrams_.send(send->address, send->message);
         }
         else {
-            compare(std::get<fleet::compare_views>(action).peer_address);
+            start_exchange(std::get<fleet::compare_views>(action).peer_address);
         }
     }
 }
 
-void gossip::learn_peers(std::vector<std::string> addresses)
+void gossip::set_store_peers(std::vector<std::string> addresses)
 {
-    loop_.post([this, addresses = std::move(addresses)]() mutable { learned_ = std::move(addresses); });
+    loop_.post([this, addresses = std::move(addresses)]() mutable { store_peers_ = std::move(addresses); });
 }
 
 // Seeds serve only a VM that knows nobody alive. Everyone else finds the others through its members. The
 // seeds of the settings may all have been replaced since they were written; the leases in the store name who
 // is there now.
-void gossip::ask_a_seed(time_point now)
+void gossip::contact_seed(time_point now)
 {
-    if ((seeds_.empty() && learned_.empty()) || now < next_seed_) {
+    if ((seeds_.empty() && store_peers_.empty()) || now < next_seed_at_) {
         return;
     }
-    next_seed_ = now + seed_every;
-    const auto address = knows_somebody() ? next_stranger() : next_seed();
+    next_seed_at_ = now + seed_interval;
+    const auto address = has_live_peer() ? next_unknown_peer() : next_seed();
     if (!address.empty() && address != state_.self().peer_address) {
-        compare(address);
+        start_exchange(address);
         pull(address, false);
     }
 }
 
-bool gossip::knows_somebody() const
+bool gossip::has_live_peer() const
 {
     const auto self = state_.self();
     const auto members = state_.members();
@@ -114,18 +114,18 @@
 std::string gossip::next_seed()
 {
     auto candidates = seeds_;
-    candidates.insert(candidates.end(), learned_.begin(), learned_.end());
-    return candidates[seed_turn_++ % candidates.size()];
+    candidates.insert(candidates.end(), store_peers_.begin(), store_peers_.end());
+    return candidates[seed_index_++ % candidates.size()];
 }
 
 // VMs that meet in pairs at a common start know somebody each and would stay two fleets for good. So each
 // peer that the store names and no member is known by is asked once.
-std::string gossip::next_stranger()
+std::string gossip::next_unknown_peer()
 {
     const auto members = state_.members();
-    while (!learned_.empty()) {
-        auto address = std::move(learned_.back());
-        learned_.pop_back();
+    while (!store_peers_.empty()) {
+        auto address = std::move(store_peers_.back());
+        store_peers_.pop_back();
         const bool known = std::any_of(members.begin(), members.end(), [&address](const fleet::member& one) {
             return one.state == fleet::member_state::alive && one.info.peer_address == address;
         });
@@ -136,13 +136,13 @@
     return {};
 }
 
-void gossip::count(const google::protobuf::Message& request)
+void gossip::count_call(const google::protobuf::Message& request)
 {
     ++calls_;
     call_bytes_ += request.ByteSizeLong();
 }
 
-void gossip::compare(const std::string& address)
+void gossip::start_exchange(const std::string& address)
 {
     if (stopped_) {
         return;
@@ -151,32 +151,32 @@
     for (const auto& line : state_.summary()) {
         *request.add_members() = node::to_message(line);
     }
-    count(request);
+    count_call(request);
     const auto channel = peers_.at(address, steady::now());
     wire::call<v1::ExchangeReply>(*channel, wire::method<v1::KeeperPeer>("Exchange"), request, options(),
                                   [this, channel, address](const result<v1::ExchangeReply>& reply) {
                                       if (ok(reply)) {
                                           call_bytes_ += value(reply).ByteSizeLong();
-                                          hand_over(address, value(reply));
+                                          finish_exchange(address, value(reply));
                                       }
                                   });
 }
 
-void gossip::hand_over(const std::string& address, const v1::ExchangeReply& reply)
+void gossip::finish_exchange(const std::string& address, const v1::ExchangeReply& reply)
 {
     if (stopped_) {
         return;
     }
-    state_.merge_claims(claims_of(reply.claims()), steady::now());
+    state_.merge_updates(updates_from(reply.claims()), steady::now());
     const std::vector<std::uint64_t> wanted(reply.wanted().begin(), reply.wanted().end());
     if (wanted.empty()) {
         return;
     }
     v1::ExchangeRequest request;
-    for (const auto& claim : state_.claims_for(wanted)) {
-        *request.add_claims() = node::to_message(claim);
+    for (const auto& update : state_.updates_for(wanted)) {
+        *request.add_claims() = node::to_message(update);
     }
-    count(request);
+    count_call(request);
     const auto channel = peers_.at(address, steady::now());
     wire::call<v1::ExchangeReply>(*channel, wire::method<v1::KeeperPeer>("Exchange"), request, options(),
                                   [channel](const result<v1::ExchangeReply>&) {});
@@ -185,7 +185,7 @@
 v1::ExchangeReply gossip::answer(const v1::ExchangeRequest& request)
 {
     v1::ExchangeReply reply;
-    state_.merge_claims(claims_of(request.claims()), steady::now());
+    state_.merge_updates(updates_from(request.claims()), steady::now());
     if (request.members().empty()) {
         return reply;
     }
@@ -194,8 +194,8 @@
         theirs.push_back(node::from_message(line));
     }
     const auto difference = state_.compare(theirs);
-    for (const auto& claim : difference.newer_here) {
-        *reply.add_claims() = node::to_message(claim);
+    for (const auto& update : difference.newer_here) {
+        *reply.add_claims() = node::to_message(update);
     }
     reply.mutable_wanted()->Add(difference.wanted.begin(), difference.wanted.end());
     return reply;
@@ -225,7 +225,7 @@
     }
     v1::ConfigPullRequest request;
     const auto mark = state_.config_mark();
-    const auto base = whole ? 0 : mark.newest_version - std::min(mark.newest_version, overlap);
+    const auto base = whole ? 0 : mark.newest_version - std::min(mark.newest_version, pull_overlap);
     request.set_newest_version(base);
     request.set_digest(mark.digest);
     request.set_whole(whole);
@@ -237,7 +237,7 @@
             held.set_version(line.version);
         }
     }
-    count(request);
+    count_call(request);
     const auto channel = peers_.at(address, steady::now());
     wire::call<v1::ConfigPullReply>(
         *channel, wire::method<v1::KeeperPeer>("ConfigPull"), request, options(),
@@ -278,7 +278,7 @@
     std::size_t bytes = 0;
     for (const auto& item : objects) {
         bytes += item.spec_json.size();
-        if (bytes > largest_pull && reply.entries_size() > 0) {
+        if (bytes > max_pull_bytes && reply.entries_size() > 0) {
             reply.set_more(true);
             break;
         }
--- a/src/keeper/gossip.hpp
+++ b/src/keeper/gossip.hpp
@@ -13,7 +13,7 @@
 namespace vanillagauge::keeper {
 
 /// Calls between keepers that this VM made, with the bytes of questions and answers.
-struct exchange_counts {
+struct peer_call_counts {
     std::uint64_t calls = 0;
     std::uint64_t bytes = 0;
 };
@@ -33,7 +33,7 @@
         seeds_.insert(seeds_.end(), addresses.begin(), addresses.end());
     }
     /// Peers that the store names, asked like seeds. May come from any thread.
-    void learn_peers(std::vector<std::string> addresses);
+    void set_store_peers(std::vector<std::string> addresses);
     /// Runs where peers cannot settle a difference and the store must be listed.
     void on_list_needed(std::function<void()> handler) { list_needed_ = std::move(handler); }
     /// Tells peers that this VM leaves.
@@ -45,7 +45,7 @@
     v1::ExchangeReply answer(const v1::ExchangeRequest& request);
     v1::ConfigPullReply answer(const v1::ConfigPullRequest& request) const;
     datagram_counts counts() const { return datagrams_.counts(); }
-    exchange_counts exchanges() const { return {calls_, call_bytes_}; }
+    peer_call_counts peer_calls() const { return {calls_, call_bytes_}; }
 
 private:
     keeper_state& state_;
@@ -54,11 +54,11 @@
     datagram_link datagrams_;
     config::pull_planner pulls_;
     std::vector<std::string> seeds_;
-    std::vector<std::string> learned_;
+    std::vector<std::string> store_peers_;
     std::string token_;
     std::function<void()> list_needed_;
-    time_point next_seed_;
-    std::size_t seed_turn_ = 0;
+    time_point next_seed_at_;
+    std::size_t seed_index_ = 0;
     bool stopped_ = false;
     std::atomic<std::uint64_t> calls_{0};
     std::atomic<std::uint64_t> call_bytes_{0};
@@ -66,15 +66,15 @@
     void tick();
     void receive(const fleet::datagram& message);
     void perform(const fleet::detector_actions& actions);
-    void ask_a_seed(time_point now);
-    bool knows_somebody() const;
+    void contact_seed(time_point now);
+    bool has_live_peer() const;
     std::string next_seed();
-    std::string next_stranger();
-    void compare(const std::string& address);
-    void hand_over(const std::string& address, const v1::ExchangeReply& reply);
+    std::string next_unknown_peer();
+    void start_exchange(const std::string& address);
+    void finish_exchange(const std::string& address, const v1::ExchangeReply& reply);
     void consider_pull(const fleet::datagram& message, time_point now);
     void pull(const std::string& address, bool whole);
-    void count(const google::protobuf::Message& request);
+    void count_call(const google::protobuf::Message& request);
     wire::call_options options() const;
 };
 
--- a/src/keeper/keeper_state.cpp
+++ b/src/keeper/keeper_state.cpp
@@ -8,10 +8,10 @@
 
 /// A program asks its keeper again after half a second at the latest; four missed rounds mean that it is
 /// gone.
-constexpr milliseconds program_silence{2000};
+constexpr milliseconds process_timeout{2000};
 /// Three watches in three failure domains: a change arrives while any one of them works, and the number of
 /// calls does not grow with the fleet.
-constexpr std::size_t watchers = 3;
+constexpr std::size_t watcher_count = 3;
 
 } // namespace
 
@@ -21,7 +21,7 @@
 {
 }
 
-void keeper_state::changed() const
+void keeper_state::notify_change() const
 {
     if (handler_) {
         handler_();
@@ -44,7 +44,7 @@
         }
     }
     if (taken) {
-        changed();
+        notify_change();
     }
     return taken;
 }
@@ -57,27 +57,27 @@
         return config_.merge_listing(kind, listed, revision);
     }();
     if (taken) {
-        changed();
+        notify_change();
     }
 }
 
-void keeper_state::hear(const fleet::process& program, time_point now)
+void keeper_state::update_process(const fleet::process& program, time_point now)
 {
     const bool drains = draining();
     const auto mark = config_mark();
-    bool news = false;
+    bool changed = false;
     {
         const std::lock_guard lock(members_mutex_);
-        auto& entry = programs_[program.role];
+        auto& entry = processes_[program.role];
         const bool same = entry.info == program;
         entry = {program, now};
         if (!same) {
             announce(drains, mark, now);
-            news = note_generation();
+            changed = update_generation();
         }
     }
-    if (news) {
-        changed();
+    if (changed) {
+        notify_change();
     }
 }
 
@@ -85,9 +85,9 @@
 {
     auto self = detector_.view().self();
     self.processes.clear();
-    std::erase_if(programs_,
-                  [now](const auto& entry) { return now - entry.second.last_heard > program_silence; });
-    for (const auto& [role, entry] : programs_) {
+    std::erase_if(processes_,
+                  [now](const auto& entry) { return now - entry.second.last_seen > process_timeout; });
+    for (const auto& [role, entry] : processes_) {
         self.processes.push_back(entry.info);
     }
     self.draining = drains;
@@ -100,10 +100,10 @@
     detector_.set_config({mark.digest, mark.newest_version});
 }
 
-bool keeper_state::note_generation()
+bool keeper_state::update_generation()
 {
     const auto generation = detector_.view().generation();
-    return std::exchange(told_generation_, generation) != generation;
+    return std::exchange(notified_generation_, generation) != generation;
 }
 
 fleet::detector_actions keeper_state::tick(time_point now)
@@ -111,15 +111,15 @@
     const bool drains = draining();
     const auto mark = config_mark();
     fleet::detector_actions actions;
-    bool news = false;
+    bool changed = false;
     {
         const std::lock_guard lock(members_mutex_);
         announce(drains, mark, now);
         actions = detector_.tick(now);
-        news = note_generation();
+        changed = update_generation();
     }
-    if (news) {
-        changed();
+    if (changed) {
+        notify_change();
     }
     return actions;
 }
@@ -127,14 +127,14 @@
 fleet::detector_actions keeper_state::receive(const fleet::datagram& message, time_point now)
 {
     fleet::detector_actions actions;
-    bool news = false;
+    bool changed = false;
     {
         const std::lock_guard lock(members_mutex_);
         actions = detector_.receive(message, now);
-        news = note_generation();
+        changed = update_generation();
     }
-    if (news) {
-        changed();
+    if (changed) {
+        notify_change();
     }
     return actions;
 }
@@ -145,16 +145,16 @@
     return detector_.leave(now);
 }
 
-void keeper_state::merge_claims(const std::vector<fleet::member_update>& claims, time_point now)
+void keeper_state::merge_updates(const std::vector<fleet::member_update>& updates, time_point now)
 {
-    bool news = false;
+    bool changed = false;
     {
         const std::lock_guard lock(members_mutex_);
-        detector_.merge_diff(claims, now);
-        news = note_generation();
+        detector_.merge_diff(updates, now);
+        changed = update_generation();
     }
-    if (news) {
-        changed();
+    if (changed) {
+        notify_change();
     }
 }
 
@@ -195,7 +195,7 @@
     return detector_.view().compare(theirs);
 }
 
-std::vector<fleet::member_update> keeper_state::claims_for(const std::vector<std::uint64_t>& wanted) const
+std::vector<fleet::member_update> keeper_state::updates_for(const std::vector<std::uint64_t>& wanted) const
 {
     const std::lock_guard lock(members_mutex_);
     return detector_.view().updates_for(wanted);
@@ -205,12 +205,12 @@
 {
     const std::lock_guard lock(members_mutex_);
     const auto& seen = detector_.view();
-    if (chosen_at_generation_ != seen.generation()) {
-        const auto chosen = fleet::choose_watchers(seen.members(), watchers);
-        chosen_to_watch_ = std::find(chosen.begin(), chosen.end(), vm_) != chosen.end();
-        chosen_at_generation_ = seen.generation();
+    if (watcher_generation_ != seen.generation()) {
+        const auto chosen = fleet::choose_watchers(seen.members(), watcher_count);
+        is_watcher_ = std::find(chosen.begin(), chosen.end(), vm_) != chosen.end();
+        watcher_generation_ = seen.generation();
     }
-    return chosen_to_watch_;
+    return is_watcher_;
 }
 
 std::size_t keeper_state::member_count() const
--- a/src/keeper/keeper_state.hpp
+++ b/src/keeper/keeper_state.hpp
@@ -42,13 +42,13 @@
     void merge_listing(const std::string& kind, const std::vector<config::object>& listed,
                        std::uint64_t revision);
     /// Notes that a program of this VM is there.
-    void hear(const fleet::process& program, time_point now);
+    void update_process(const fleet::process& program, time_point now);
     void set_watch_failing(bool failing) { watch_failing_ = failing; }
     /// Judges members and programs; call each 50 to 100 ms.
     fleet::detector_actions tick(time_point now);
     fleet::detector_actions receive(const fleet::datagram& message, time_point now);
     fleet::detector_actions leave(time_point now);
-    void merge_claims(const std::vector<fleet::member_update>& claims, time_point now);
+    void merge_updates(const std::vector<fleet::member_update>& updates, time_point now);
 
     // Queries.
     std::vector<fleet::member> members() const;
@@ -58,7 +58,7 @@
     fleet::node self() const;
     std::vector<fleet::member_summary> summary() const;
     fleet::view_difference compare(const std::vector<fleet::member_summary>& theirs) const;
-    std::vector<fleet::member_update> claims_for(const std::vector<std::uint64_t>& wanted) const;
+    std::vector<fleet::member_update> updates_for(const std::vector<std::uint64_t>& wanted) const;
     /// One of the VMs that watch the store for the fleet.
     bool is_watcher() const;
     std::vector<config::object> config_since(std::uint64_t revision) const;
@@ -73,29 +73,29 @@
     std::uint64_t incarnation() const { return incarnation_; }
 
 private:
-    struct heard_program {
+    struct observed_process {
         fleet::process info;
-        time_point last_heard;
+        time_point last_seen;
     };
     const std::string vm_;
     const std::uint64_t incarnation_;
     std::function<void()> handler_;
     mutable std::mutex members_mutex_;
     fleet::failure_detector detector_;
-    std::map<std::string, heard_program> programs_;
+    std::map<std::string, observed_process> processes_;
     keeper_addresses addresses_;
-    std::uint64_t told_generation_ = 0;
+    std::uint64_t notified_generation_ = 0;
     /// The choice of watchers takes a hash of every member; it is made again only when a member changed.
-    mutable std::uint64_t chosen_at_generation_ = 0;
-    mutable bool chosen_to_watch_ = false;
+    mutable std::uint64_t watcher_generation_ = 0;
+    mutable bool is_watcher_ = false;
     mutable std::mutex config_mutex_;
     config::replica config_;
     std::atomic<bool> watch_failing_{false};
 
-    void changed() const;
+    void notify_change() const;
     /// Both under the members' lock.
     void announce(bool drains, const config::replica_mark& mark, time_point now);
-    bool note_generation();
+    bool update_generation();
 };
 
 } // namespace vanillagauge::keeper
--- a/src/keeper/local_service.cpp
+++ b/src/keeper/local_service.cpp
@@ -13,7 +13,7 @@
 void local_service::Follow(google::protobuf::RpcController* /*control*/, const v1::FollowRequest* request,
                            v1::FollowReply* reply, google::protobuf::Closure* done)
 {
-    state_.hear(node::from_message(request->self()), steady::now());
+    state_.update_process(node::from_message(request->self()), steady::now());
     // A revision counts for one life of the keeper; another life's number would hide what has changed since.
     const bool same_life = request->keeper_incarnation() == state_.incarnation();
     const waiting follower{same_life ? request->since_revision() : 0,
--- a/src/keeper/main.cpp
+++ b/src/keeper/main.cpp
@@ -31,14 +31,14 @@
                  const objects::object_client& store)
 {
     const auto datagrams = exchange.counts();
-    const auto exchanges = exchange.exchanges();
+    const auto peer_calls = exchange.peer_calls();
     const auto calls = store.counts();
     return line("datagrams_sent_total", datagrams.sent) +
            line("datagram_sent_bytes_total", datagrams.sent_bytes) +
            line("datagrams_received_total", datagrams.received) +
            line("datagram_received_bytes_total", datagrams.received_bytes) +
-           line("datagrams_refused_total", datagrams.refused) + line("peer_calls_total", exchanges.calls) +
-           line("peer_call_bytes_total", exchanges.bytes) + line("store_reads_total", calls.reads) +
+           line("datagrams_refused_total", datagrams.refused) + line("peer_calls_total", peer_calls.calls) +
+           line("peer_call_bytes_total", peer_calls.bytes) + line("store_reads_total", calls.reads) +
            line("store_writes_total", calls.writes) + line("store_lists_total", calls.lists) +
            line("store_watches_total", calls.watches) + line("store_over_budget_total", calls.over_budget) +
            line("config_newest_version", state.config_mark().newest_version) +
@@ -92,7 +92,8 @@
     keeper::snapshot_keeper snapshots(state, settings.data_folder);
     exchange.add_seeds(snapshots.load());
     snapshots.start();
-    lease.on_peers([&exchange](std::vector<std::string> named) { exchange.learn_peers(std::move(named)); });
+    lease.on_peers(
+        [&exchange](std::vector<std::string> named) { exchange.set_store_peers(std::move(named)); });
     exchange.start();
     feed.start();
     lease.start();
