--- a/src/config/internal/expectation.cpp
+++ b/src/config/internal/mismatch.cpp
@@ -1,4 +1,4 @@
-#include "config/internal/expectation.hpp"
+#include "config/internal/mismatch.hpp"
 
 #include <vector>
 
@@ -7,22 +7,22 @@
 
 using nlohmann::json;
 
-constexpr std::size_t longest_quote = 80;
+constexpr std::size_t max_quote_length = 80;
 
 std::string quote(const json& found)
 {
     const auto text = found.dump(-1, ' ', false, json::error_handler_t::replace);
-    return text.size() <= longest_quote ? text : text.substr(0, longest_quote) + "...";
+    return text.size() <= max_quote_length ? text : text.substr(0, max_quote_length) + "...";
 }
 
-std::string listed(const std::vector<std::string>& words, const char* last_joint)
+std::string join(const std::vector<std::string>& words, const char* last_separator)
 {
     std::string text;
-    for (std::size_t place = 0; place < words.size(); ++place) {
-        if (place > 0) {
-            text += place + 1 == words.size() ? last_joint : ", ";
+    for (std::size_t index = 0; index < words.size(); ++index) {
+        if (index > 0) {
+            text += index + 1 == words.size() ? last_separator : ", ";
         }
-        text += words[place];
+        text += words[index];
     }
     return text;
 }
@@ -47,17 +47,17 @@
     return json::array();
 }
 
-std::string range_of(const json& rules, const char* least, const char* most, const std::string& unit)
+std::string range_of(const json& rules, const char* min_key, const char* max_key, const std::string& unit)
 {
-    const bool from = rules.contains(least);
-    const bool to = rules.contains(most);
+    const bool from = rules.contains(min_key);
+    const bool to = rules.contains(max_key);
     if (from && to) {
-        return " from " + rules.at(least).dump() + " to " + rules.at(most).dump() + unit;
+        return " from " + rules.at(min_key).dump() + " to " + rules.at(max_key).dump() + unit;
     }
     if (from) {
-        return " of at least " + rules.at(least).dump() + unit;
+        return " of at least " + rules.at(min_key).dump() + unit;
     }
-    return to ? " of at most " + rules.at(most).dump() + unit : "";
+    return to ? " of at most " + rules.at(max_key).dump() + unit : "";
 }
 
 std::string with_article(const std::string& type)
@@ -66,7 +66,7 @@
     return (vowel ? "an " : "a ") + type;
 }
 
-std::string typed(const json& rules, const std::string& type)
+std::string describe_type(const json& rules, const std::string& type)
 {
     auto text = with_article(type);
     if (type == "integer" || type == "number") {
@@ -89,15 +89,16 @@
         words.push_back(describe_rules(schema, choice));
     }
     if (!words.empty()) {
-        return listed(words, " or ");
+        return join(words, " or ");
     }
     if (rules.contains("enum")) {
         for (const auto& choice : rules.at("enum")) {
             words.push_back(choice.dump());
         }
-        return listed(words, " or ");
+        return join(words, " or ");
     }
-    auto text = rules.contains("type") ? typed(rules, rules.at("type").get<std::string>()) : "another value";
+    auto text =
+        rules.contains("type") ? describe_type(rules, rules.at("type").get<std::string>()) : "another value";
     if (rules.contains("pattern")) {
         text += " that matches " + rules.at("pattern").get<std::string>();
     }
@@ -125,7 +126,7 @@
         for (const auto& [name, rule] : known.items()) {
             names.push_back(name);
         }
-        const auto choice = names.empty() ? "no keys" : "only the keys " + listed(names, " and ");
+        const auto choice = names.empty() ? "no keys" : "only the keys " + join(names, " and ");
         return "expected " + choice + ", found the unknown key " + quote(key);
     }
     return "";
@@ -152,10 +153,10 @@
 
 } // namespace
 
-json schema_at(const json& schema, const json::json_pointer& place)
+json schema_at(const json& schema, const json::json_pointer& path)
 {
     std::vector<std::string> tokens;
-    for (auto rest = place; !rest.empty(); rest.pop_back()) {
+    for (auto rest = path; !rest.empty(); rest.pop_back()) {
         tokens.insert(tokens.begin(), rest.back());
     }
     json rules = schema;
@@ -168,7 +169,7 @@
     return rules;
 }
 
-std::string expectation(const json& schema, const json& unresolved, const json& found)
+std::string describe_mismatch(const json& schema, const json& unresolved, const json& found)
 {
     const auto rules = resolved(schema, unresolved);
     if (found.is_object() && rules.value("type", "") == "object") {
--- a/src/config/internal/schema_check.cpp
+++ b/src/config/internal/schema_check.cpp
@@ -1,6 +1,6 @@
 #include "config/internal/schema_check.hpp"
 
-#include "config/internal/expectation.hpp"
+#include "config/internal/mismatch.hpp"
 
 #include <valijson/adapters/nlohmann_json_adapter.hpp>
 #include <valijson/schema.hpp>
@@ -14,19 +14,20 @@
 using nlohmann::json;
 
 /// `<root>[keeper][seeds]` as a pointer to /keeper/seeds.
-json::json_pointer place_of(const std::vector<std::string>& context)
+json::json_pointer to_pointer(const std::vector<std::string>& context)
 {
-    json::json_pointer place;
+    json::json_pointer pointer;
     for (const auto& part : context) {
         if (part != "<root>") {
-            place.push_back(part.size() > 2 && part.front() == '[' ? part.substr(1, part.size() - 2) : part);
+            pointer.push_back(part.size() > 2 && part.front() == '[' ? part.substr(1, part.size() - 2)
+                                                                     : part);
         }
     }
-    return place;
+    return pointer;
 }
 
 /// Outer values are wrong only because an inner one is, so the deepest place is the one to name.
-json::json_pointer deepest_place(valijson::ValidationResults& problems)
+json::json_pointer deepest_path(valijson::ValidationResults& problems)
 {
     std::vector<std::string> deepest;
     valijson::ValidationResults::Error problem;
@@ -35,13 +36,13 @@
             deepest = problem.context;
         }
     }
-    return place_of(deepest);
+    return to_pointer(deepest);
 }
 
-std::string describe_problem(const json& schema, const json& document, const json::json_pointer& place)
+std::string describe_problem(const json& schema, const json& document, const json::json_pointer& pointer)
 {
-    const auto path = place.empty() ? "/" : place.to_string();
-    return "at " + path + ": " + expectation(schema, schema_at(schema, place), document.at(place));
+    const auto path = pointer.empty() ? "/" : pointer.to_string();
+    return "at " + path + ": " + describe_mismatch(schema, schema_at(schema, pointer), document.at(pointer));
 }
 
 } // namespace
@@ -66,7 +67,7 @@
         return document;
     }
     return error{error_code::invalid_argument, run_state::not_run,
-                 origin + ": " + describe_problem(schema_document, document, deepest_place(problems))};
+                 origin + ": " + describe_problem(schema_document, document, deepest_path(problems))};
 }
 
 } // namespace vanillagauge::config::internal
--- a/src/config/pull_planner.hpp
+++ b/src/config/pull_planner.hpp
@@ -17,15 +17,15 @@
 };
 
 struct pull_timing {
-    milliseconds pull_every{100};     ///< for recent changes
-    milliseconds whole_every{5000};   ///< for a difference in what is old
-    milliseconds answer_within{2000}; ///< a pull unanswered for this long is given up
-    int whole_pulls_before_list = 3;  ///< peers could not settle the difference: the store must
+    milliseconds pull_interval{100};      ///< for recent changes
+    milliseconds complete_interval{5000}; ///< for a difference in what is old
+    milliseconds pull_timeout{2000};      ///< a pull unanswered for this long is given up
+    int max_complete_pulls = 3;           ///< peers could not settle the difference: the store must
 };
 
 enum class pull_kind {
-    recent, ///< what is newer, and the last changes before
-    whole,  ///< compare all versions
+    recent,   ///< what is newer, and the last changes before
+    complete, ///< compare all versions
     from_store,
 };
 
@@ -34,21 +34,21 @@
     explicit pull_planner(pull_timing timing = {}) : timing_(timing) {}
 
     /// A peer's mark came in; says what to ask of that peer, if anything. Then a pull is under way.
-    std::optional<pull_kind> heard(const replica_mark& own, const replica_mark& theirs, time_point now);
+    std::optional<pull_kind> on_mark(const replica_mark& own, const replica_mark& theirs, time_point now);
     /// The pull ended, with an answer or not.
-    void ended() { under_way_ = false; }
+    void on_ended() { in_progress_ = false; }
 
 private:
     pull_timing timing_;
-    bool under_way_ = false;
-    time_point started_{};
+    bool in_progress_ = false;
+    time_point started_at_{};
     std::optional<time_point> last_pull_;
-    std::optional<time_point> last_whole_;
-    std::uint64_t tried_own_ = 0; ///< the digests that the last recent pull was to bring together
-    std::uint64_t tried_theirs_ = 0;
-    int fruitless_ = 0;
+    std::optional<time_point> last_complete_;
+    std::uint64_t tried_own_digest_ = 0; ///< the digests that the last recent pull was to bring together
+    std::uint64_t tried_peer_digest_ = 0;
+    int unresolved_pulls_ = 0;
 
-    bool may_start(const std::optional<time_point>& last, milliseconds every, time_point now) const;
+    bool may_start(const std::optional<time_point>& last, milliseconds interval, time_point now) const;
 };
 
 } // namespace vanillagauge::config
--- a/src/config/replica.cpp
+++ b/src/config/replica.cpp
@@ -16,7 +16,7 @@
 
 // XOR: counting an object twice takes it out again. Tombstones do not count, so that replicas which dropped
 // different ones still agree.
-void replica::count_in_digest(const object& item)
+void replica::toggle_in_digest(const object& item)
 {
     if (item.version != 0 && !item.deleted) {
         digest_ ^= fingerprint(item);
@@ -34,13 +34,14 @@
     }
     // An unknown object that is older than a dropped tombstone may be the very one that was deleted, brought
     // by a peer that was away. Only the store itself can say that it still exists.
-    if (found == objects_.end() && source == object_source::peer && incoming.version <= dropped_up_to_) {
+    if (found == objects_.end() && source == object_source::peer &&
+        incoming.version <= max_dropped_version_) {
         return false;
     }
     auto& entry = objects_[id];
     tombstones_.erase({entry.current.version, id});
-    count_in_digest(entry.current);
-    count_in_digest(incoming);
+    toggle_in_digest(entry.current);
+    toggle_in_digest(incoming);
     newest_version_ = std::max(newest_version_, incoming.version);
     if (incoming.deleted) {
         tombstones_.insert({incoming.version, id});
@@ -53,9 +54,9 @@
 
 void replica::drop_tombstones()
 {
-    while (tombstones_.size() > most_tombstones) {
+    while (tombstones_.size() > max_tombstones) {
         const auto oldest = tombstones_.begin();
-        dropped_up_to_ = std::max(dropped_up_to_, oldest->first);
+        max_dropped_version_ = std::max(max_dropped_version_, oldest->first);
         objects_.erase(oldest->second);
         tombstones_.erase(oldest);
     }
@@ -100,7 +101,7 @@
     return found;
 }
 
-std::vector<object> replica::since(std::uint64_t revision) const
+std::vector<object> replica::changes_since(std::uint64_t revision) const
 {
     std::vector<object> found;
     for (const auto& [id, entry] : objects_) {
@@ -111,7 +112,7 @@
     return found;
 }
 
-std::vector<object> replica::lacking(const std::vector<object_version>& known) const
+std::vector<object> replica::newer_than(const std::vector<object_version>& known) const
 {
     std::map<key, std::uint64_t> theirs;
     for (const auto& line : known) {
--- a/src/config/replica.hpp
+++ b/src/config/replica.hpp
@@ -33,7 +33,7 @@
 class replica {
 public:
     /// Tombstones beyond this number are dropped, the oldest first.
-    static constexpr std::size_t most_tombstones = 2048;
+    static constexpr std::size_t max_tombstones = 2048;
 
     /// Takes the object if it is newer than what is held; true where it was taken.
     bool merge(object incoming, object_source source = object_source::peer);
@@ -45,10 +45,10 @@
     std::optional<object> find(const std::string& kind, const std::string& name) const;
     std::vector<object> list(const std::string& kind) const;
     /// Everything taken after this local revision, tombstones too.
-    std::vector<object> since(std::uint64_t revision) const;
+    std::vector<object> changes_since(std::uint64_t revision) const;
 
     /// Everything of which `known` names no version as high.
-    std::vector<object> lacking(const std::vector<object_version>& known) const;
+    std::vector<object> newer_than(const std::vector<object_version>& known) const;
     std::vector<object_version> versions() const;
     /// 0 where the object is unknown; a tombstone has a version.
     std::uint64_t version_of(const std::string& kind, const std::string& name) const;
@@ -61,19 +61,19 @@
     std::uint64_t digest() const { return digest_; }
 
 private:
-    struct held {
+    struct held_object {
         object current;
         std::uint64_t revision = 0;
     };
     using key = std::pair<std::string, std::string>;
-    std::map<key, held> objects_;
+    std::map<key, held_object> objects_;
     std::uint64_t revision_ = 0;
     std::uint64_t newest_version_ = 0;
     std::uint64_t digest_ = 0;
     std::set<std::pair<std::uint64_t, key>> tombstones_;
-    std::uint64_t dropped_up_to_ = 0; ///< the highest version of a tombstone that was dropped
+    std::uint64_t max_dropped_version_ = 0; ///< the highest version of a tombstone that was dropped
 
-    void count_in_digest(const object& item);
+    void toggle_in_digest(const object& item);
     void drop_tombstones();
 };
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -111,7 +111,7 @@
     return parsed;
 }
 
-milliseconds read_time(const json& from, const char* key, milliseconds unit, milliseconds fallback)
+milliseconds read_duration(const json& from, const char* key, milliseconds unit, milliseconds fallback)
 {
     const auto found = from.find(key);
     if (found == from.end()) {
@@ -133,13 +133,13 @@
     read(*found, "metrics_listen", parsed.metrics_listen);
     read(*found, "relay_listen", parsed.relay_listen);
     read(*found, "model_order_holder", parsed.model_order_holder);
-    parsed.stop_grace = read_time(*found, "stop_grace_s", seconds{1}, parsed.stop_grace);
-    parsed.order_lease = read_time(*found, "order_lease_ms", milliseconds{1}, parsed.order_lease);
-    parsed.advice_time = read_time(*found, "advice_time_ms", milliseconds{1}, parsed.advice_time);
+    parsed.stop_grace = read_duration(*found, "stop_grace_s", seconds{1}, parsed.stop_grace);
+    parsed.order_lease = read_duration(*found, "order_lease_ms", milliseconds{1}, parsed.order_lease);
+    parsed.advice_time = read_duration(*found, "advice_time_ms", milliseconds{1}, parsed.advice_time);
     return parsed;
 }
 
-settings fill(const json& all)
+settings read_settings(const json& all)
 {
     settings parsed;
     read(all, "vm", parsed.vm);
@@ -188,7 +188,7 @@
     if (!ok(parsed)) {
         return failure(parsed);
     }
-    auto filled = fill(value(parsed));
+    auto filled = read_settings(value(parsed));
     filled.file = origin;
     return filled;
 }
--- a/src/config/specs.cpp
+++ b/src/config/specs.cpp
@@ -56,19 +56,19 @@
 /// A drain object names a VM that is to stop; deleting it takes the VM back.
 constexpr const char* drain_schema = R"json({"type": "object", "additionalProperties": false})json";
 
-std::string origin(const std::string& kind, const std::string& name)
+std::string origin_of(const std::string& kind, const std::string& name)
 {
     return kind + "/" + name;
 }
 
 result<done> check_unique_ids(const deployment_spec& spec)
 {
-    std::set<std::string> seen;
+    std::set<std::string> ids;
     for (const auto& target : spec.targets) {
-        if (!seen.insert(target.id).second) {
+        if (!ids.insert(target.id).second) {
             return error{error_code::invalid_argument, run_state::not_run,
-                         origin("deployment", spec.name) + ": at /targets: expected distinct ids, found \"" +
-                             target.id + "\" twice"};
+                         origin_of("deployment", spec.name) +
+                             ": at /targets: expected distinct ids, found \"" + target.id + "\" twice"};
         }
     }
     return done{};
@@ -78,7 +78,7 @@
 
 result<deployment_spec> parse_deployment(const std::string& name, const std::string& spec_json)
 {
-    const auto checked = internal::parse_checked(spec_json, deployment_schema, origin("deployment", name));
+    const auto checked = internal::parse_checked(spec_json, deployment_schema, origin_of("deployment", name));
     if (!ok(checked)) {
         return failure(checked);
     }
@@ -106,7 +106,7 @@
 
 result<job_spec> parse_job(const std::string& name, const std::string& spec_json)
 {
-    const auto checked = internal::parse_checked(spec_json, job_schema, origin("job", name));
+    const auto checked = internal::parse_checked(spec_json, job_schema, origin_of("job", name));
     if (!ok(checked)) {
         return failure(checked);
     }
@@ -138,7 +138,7 @@
         return ok(parsed) ? result<done>(done{}) : result<done>(failure(parsed));
     }
     if (kind == "drain") {
-        const auto parsed = internal::parse_checked(spec_json, drain_schema, origin(kind, name));
+        const auto parsed = internal::parse_checked(spec_json, drain_schema, origin_of(kind, name));
         return ok(parsed) ? result<done>(done{}) : result<done>(failure(parsed));
     }
     return error{error_code::invalid_argument, run_state::not_run,
--- a/src/keeper/gossip.cpp
+++ b/src/keeper/gossip.cpp
@@ -204,31 +204,31 @@
 void gossip::consider_pull(const fleet::datagram& message, time_point now)
 {
     const config::replica_mark theirs{message.config.digest, message.config.newest_version};
-    const auto kind = pulls_.heard(state_.config_mark(), theirs, now);
+    const auto kind = pulls_.on_mark(state_.config_mark(), theirs, now);
     if (!kind) {
         return;
     }
     if (*kind != config::pull_kind::from_store) {
-        pull(message.from_peer_address, *kind == config::pull_kind::whole);
+        pull(message.from_peer_address, *kind == config::pull_kind::complete);
         return;
     }
-    pulls_.ended();
+    pulls_.on_ended();
     if (list_needed_) {
         list_needed_();
     }
 }
 
-void gossip::pull(const std::string& address, bool whole)
+void gossip::pull(const std::string& address, bool complete)
 {
     if (stopped_) {
         return;
     }
     v1::ConfigPullRequest request;
     const auto mark = state_.config_mark();
-    const auto base = whole ? 0 : mark.newest_version - std::min(mark.newest_version, pull_overlap);
+    const auto base = complete ? 0 : mark.newest_version - std::min(mark.newest_version, pull_overlap);
     request.set_newest_version(base);
     request.set_digest(mark.digest);
-    request.set_whole(whole);
+    request.set_whole(complete);
     for (const auto& line : state_.config_versions()) {
         if (line.version > base) {
             auto& held = *request.add_held();
@@ -241,7 +241,7 @@
     const auto channel = peers_.at(address, steady::now());
     wire::call<v1::ConfigPullReply>(
         *channel, wire::method<v1::KeeperPeer>("ConfigPull"), request, options(),
-        [this, channel, address, whole](const result<v1::ConfigPullReply>& reply) {
+        [this, channel, address, complete](const result<v1::ConfigPullReply>& reply) {
             std::vector<config::object> objects;
             if (ok(reply)) {
                 call_bytes_ += value(reply).ByteSizeLong();
@@ -251,10 +251,10 @@
             }
             const bool taken = state_.merge_config(objects);
             if (ok(reply) && value(reply).more() && taken) {
-                pull(address, whole);
+                pull(address, complete);
                 return;
             }
-            loop_.post([this] { pulls_.ended(); });
+            loop_.post([this] { pulls_.on_ended(); });
         });
 }
 
@@ -268,7 +268,7 @@
     for (const auto& line : request.held()) {
         held.push_back({line.kind(), line.name(), line.version()});
     }
-    auto objects = state_.config_lacking(held);
+    auto objects = state_.config_newer_than(held);
     std::erase_if(objects, [&request](const config::object& item) {
         return !request.whole() && item.version <= request.newest_version();
     });
--- a/src/keeper/gossip.hpp
+++ b/src/keeper/gossip.hpp
@@ -73,7 +73,7 @@
     void start_exchange(const std::string& address);
     void finish_exchange(const std::string& address, const v1::ExchangeReply& reply);
     void consider_pull(const fleet::datagram& message, time_point now);
-    void pull(const std::string& address, bool whole);
+    void pull(const std::string& address, bool complete);
     void count_call(const google::protobuf::Message& request);
     wire::call_options options() const;
 };
--- a/src/keeper/keeper_state.cpp
+++ b/src/keeper/keeper_state.cpp
@@ -219,10 +219,10 @@
     return detector_.view().summary().size();
 }
 
-std::vector<config::object> keeper_state::config_since(std::uint64_t revision) const
+std::vector<config::object> keeper_state::config_changes_since(std::uint64_t revision) const
 {
     const std::lock_guard lock(config_mutex_);
-    return config_.since(revision);
+    return config_.changes_since(revision);
 }
 
 std::vector<config::object> keeper_state::config_list(const std::string& kind) const
@@ -245,10 +245,10 @@
 }
 
 std::vector<config::object>
-keeper_state::config_lacking(const std::vector<config::object_version>& held) const
+keeper_state::config_newer_than(const std::vector<config::object_version>& held) const
 {
     const std::lock_guard lock(config_mutex_);
-    return config_.lacking(held);
+    return config_.newer_than(held);
 }
 
 std::vector<config::object_version> keeper_state::config_versions() const
--- a/src/keeper/keeper_state.hpp
+++ b/src/keeper/keeper_state.hpp
@@ -61,10 +61,10 @@
     std::vector<fleet::member_update> updates_for(const std::vector<std::uint64_t>& wanted) const;
     /// One of the VMs that watch the store for the fleet.
     bool is_watcher() const;
-    std::vector<config::object> config_since(std::uint64_t revision) const;
+    std::vector<config::object> config_changes_since(std::uint64_t revision) const;
     std::vector<config::object> config_list(const std::string& kind) const;
     std::optional<config::object> config_find(const std::string& kind, const std::string& name) const;
-    std::vector<config::object> config_lacking(const std::vector<config::object_version>& held) const;
+    std::vector<config::object> config_newer_than(const std::vector<config::object_version>& held) const;
     std::vector<config::object_version> config_versions() const;
     std::uint64_t config_version_of(const std::string& kind, const std::string& name) const;
     std::uint64_t config_revision() const;
--- a/src/keeper/local_service.cpp
+++ b/src/keeper/local_service.cpp
@@ -36,7 +36,7 @@
 void local_service::answer(const waiting& follower) const
 {
     const auto revision = state_.config_revision();
-    for (const auto& item : state_.config_since(follower.since)) {
+    for (const auto& item : state_.config_changes_since(follower.since)) {
         *follower.reply->add_entries() = node::to_message(item);
     }
     const auto seen = state_.view();
--- a/src/keeper/operator_watch.cpp
+++ b/src/keeper/operator_watch.cpp
@@ -59,7 +59,7 @@
 
 bool operator_watch::has_news(const waiting& watcher) const
 {
-    const auto changes = state_.config_since(watcher.since);
+    const auto changes = state_.config_changes_since(watcher.since);
     return std::any_of(changes.begin(), changes.end(),
                        [&watcher](const config::object& item) { return concerns(watcher.kind, item); });
 }
@@ -68,7 +68,7 @@
 {
     // The revision first: a change after it comes again with the next watch, and none is lost.
     watcher.reply->set_revision(state_.config_revision());
-    for (const auto& item : state_.config_since(watcher.since)) {
+    for (const auto& item : state_.config_changes_since(watcher.since)) {
         if (concerns(watcher.kind, item)) {
             *watcher.reply->add_objects() = to_operator_object(item);
         }
--- a/src/keeper/snapshot_keeper.cpp
+++ b/src/keeper/snapshot_keeper.cpp
@@ -53,7 +53,7 @@
 void snapshot_keeper::write()
 {
     snapshot content;
-    content.objects = state_.config_since(0);
+    content.objects = state_.config_changes_since(0);
     const auto self = state_.self();
     for (const auto& member : state_.members()) {
         const bool other = member.info.vm != self.vm && member.state == fleet::member_state::alive;
--- a/tests/config/replica_tests.cpp
+++ b/tests/config/replica_tests.cpp
@@ -47,8 +47,8 @@
     held.merge({"job", "a", 1, "", false});
     const auto revision = held.revision();
     held.merge({"job", "b", 2, "", false});
-    ASSERT_EQ(held.since(revision).size(), 1U);
-    EXPECT_EQ(held.since(revision).front().name, "b");
+    ASSERT_EQ(held.changes_since(revision).size(), 1U);
+    EXPECT_EQ(held.changes_since(revision).front().name, "b");
 }
 
 // A watch is compacted while an object is deleted. The listing that follows does not show the deletion;
@@ -85,11 +85,11 @@
     held.merge({"job", "victim", 1, "x", false});
     std::uint64_t version = 1;
     held.merge({"job", "victim", ++version, "", true});
-    for (std::size_t place = 0; place < 2 * replica::most_tombstones; ++place) {
+    for (std::size_t place = 0; place < 2 * replica::max_tombstones; ++place) {
         const auto name = "job-" + std::to_string(place);
         held.merge({"job", name, ++version, "", true});
     }
-    EXPECT_LE(held.versions().size(), replica::most_tombstones);
+    EXPECT_LE(held.versions().size(), replica::max_tombstones);
     EXPECT_FALSE(held.merge({"job", "victim", 1, "x", false}, object_source::peer));
     EXPECT_FALSE(held.find("job", "victim"));
     EXPECT_TRUE(held.merge({"job", "old", 1, "x", false}, object_source::store));
