--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -114,7 +114,7 @@
     self.incarnation = own.seen.info.incarnation;
     self.heartbeat = own.seen.info.heartbeat;
     // The configuration version changes too often on every node to be spread by gossip; it is requested where
-    // it is needed (see config_census).
+    // it is needed (see config_spread).
     own.seen.info.config_version = self.config_version;
     if (self == own.seen.info) {
         return false;
--- a/src/keeper/idle_channels.cpp
+++ b/src/keeper/channel_cache.cpp
@@ -1,45 +1,45 @@
-#include "keeper/idle_channels.hpp"
+#include "keeper/channel_cache.hpp"
 
 namespace vanillagauge::keeper {
 namespace {
 
 /// A connection pings twice a second, which for hundreds of peers costs more than all datagrams together; two
 /// seconds cover the calls that follow one another.
-constexpr milliseconds idle_time{2000};
+constexpr milliseconds idle_timeout{2000};
 
 } // namespace
 
-std::shared_ptr<wire::channel> idle_channels::at(const std::string& address, time_point now)
+std::shared_ptr<wire::channel> channel_cache::at(const std::string& address, time_point now)
 {
     const std::lock_guard lock(mutex_);
-    auto& entry = slots_[address];
+    auto& entry = channels_[address];
     if (!entry.channel) {
         entry.channel = std::make_shared<wire::peer_channel>(loop_, address);
     }
-    entry.used = now;
+    entry.last_used = now;
     return entry.channel;
 }
 
-void idle_channels::close_idle(time_point now)
+void channel_cache::close_idle(time_point now)
 {
-    std::map<std::string, slot> closed;
+    std::map<std::string, cached_channel> closed;
     const std::lock_guard lock(mutex_);
-    for (auto it = slots_.begin(); it != slots_.end();) {
+    for (auto it = channels_.begin(); it != channels_.end();) {
         const auto next = std::next(it);
-        if (now - it->second.used > idle_time) {
-            closed.insert(slots_.extract(it));
+        if (now - it->second.last_used > idle_timeout) {
+            closed.insert(channels_.extract(it));
         }
         it = next;
     }
 }
 
-void idle_channels::close_all()
+void channel_cache::close_all()
 {
     const std::lock_guard lock(mutex_);
-    for (const auto& [address, entry] : slots_) {
+    for (const auto& [address, entry] : channels_) {
         entry.channel->close();
     }
-    slots_.clear();
+    channels_.clear();
 }
 
 } // namespace vanillagauge::keeper
--- a/src/keeper/idle_channels.hpp
+++ b/src/keeper/channel_cache.hpp
@@ -1,6 +1,6 @@
 /// Connections to other keepers that are closed after a while without use.
-#ifndef VANILLAGAUGE_KEEPER_IDLE_CHANNELS_HPP
-#define VANILLAGAUGE_KEEPER_IDLE_CHANNELS_HPP
+#ifndef VANILLAGAUGE_KEEPER_CHANNEL_CACHE_HPP
+#define VANILLAGAUGE_KEEPER_CHANNEL_CACHE_HPP
 
 #include "wire/event_loop.hpp"
 #include "wire/peer_channel.hpp"
@@ -12,10 +12,10 @@
 
 namespace vanillagauge::keeper {
 
-class idle_channels {
+class channel_cache {
 public:
     /// The loop must outlive it.
-    explicit idle_channels(wire::event_loop& loop) : loop_(loop) {}
+    explicit channel_cache(wire::event_loop& loop) : loop_(loop) {}
 
     /// Hold the result until the call has ended.
     std::shared_ptr<wire::channel> at(const std::string& address, time_point now);
@@ -25,13 +25,13 @@
     void close_all();
 
 private:
-    struct slot {
+    struct cached_channel {
         std::shared_ptr<wire::peer_channel> channel;
-        time_point used;
+        time_point last_used;
     };
     wire::event_loop& loop_;
     std::mutex mutex_;
-    std::map<std::string, slot> slots_;
+    std::map<std::string, cached_channel> channels_;
 };
 
 } // namespace vanillagauge::keeper
--- a/src/keeper/config_counter.cpp
+++ b/src/keeper/config_counter.cpp
@@ -90,7 +90,7 @@
 
 void config_counter::finish(const std::shared_ptr<counting>& job)
 {
-    config_census seen;
+    config_spread seen;
     for (const auto& member : state_.members()) {
         if (member.state != fleet::member_state::alive) {
             continue;
--- a/src/keeper/config_counter.hpp
+++ b/src/keeper/config_counter.hpp
@@ -2,7 +2,7 @@
 #ifndef VANILLAGAUGE_KEEPER_CONFIG_COUNTER_HPP
 #define VANILLAGAUGE_KEEPER_CONFIG_COUNTER_HPP
 
-#include "keeper/idle_channels.hpp"
+#include "keeper/channel_cache.hpp"
 #include "keeper/keeper_state.hpp"
 #include "wire/event_loop.hpp"
 
@@ -13,14 +13,14 @@
 
 namespace vanillagauge::keeper {
 
-struct config_census {
+struct config_spread {
     std::size_t holding = 0;
     std::vector<std::string> missing; ///< VMs that do not hold it, or did not say
 };
 
 class config_counter {
 public:
-    using on_counted = std::function<void(const config_census&)>;
+    using on_counted = std::function<void(const config_spread&)>;
 
     /// The state and the loop must outlive it.
     config_counter(const keeper_state& state, wire::event_loop& loop, std::string token);
@@ -33,7 +33,7 @@
     const keeper_state& state_;
     wire::event_loop& loop_;
     std::string token_;
-    idle_channels peers_;
+    channel_cache peers_;
 
     void round(const std::shared_ptr<counting>& job);
     void ask(const std::shared_ptr<counting>& job, const fleet::node& peer);
--- a/src/keeper/gossip.hpp
+++ b/src/keeper/gossip.hpp
@@ -2,8 +2,8 @@
 #ifndef VANILLAGAUGE_KEEPER_GOSSIP_HPP
 #define VANILLAGAUGE_KEEPER_GOSSIP_HPP
 
+#include "keeper/channel_cache.hpp"
 #include "keeper/datagram_link.hpp"
-#include "keeper/idle_channels.hpp"
 #include "keeper/keeper_state.hpp"
 
 #include "vanillagauge.pb.h"
@@ -50,7 +50,7 @@
 private:
     keeper_state& state_;
     wire::event_loop& loop_;
-    idle_channels peers_;
+    channel_cache peers_;
     datagram_link datagrams_;
     config::pull_planner pulls_;
     std::vector<std::string> seeds_;
--- a/src/keeper/lease_keeper.cpp
+++ b/src/keeper/lease_renewer.cpp
@@ -1,4 +1,4 @@
-#include "keeper/lease_keeper.hpp"
+#include "keeper/lease_renewer.hpp"
 
 #include "observe/log.hpp"
 
@@ -30,12 +30,12 @@
 
 } // namespace
 
-lease_keeper::lease_keeper(keeper_state& state, objects::object_client& store, wire::event_loop& loop)
+lease_renewer::lease_renewer(keeper_state& state, objects::object_client& store, wire::event_loop& loop)
     : state_(state), store_(store), loop_(loop), vm_(state.self().vm), cycle_(vm_, fleet::lease_timing_for(1))
 {
 }
 
-void lease_keeper::turn()
+void lease_renewer::turn()
 {
     loop_.after(turn_every, [this] { turn(); });
     const auto members = state_.member_count();
@@ -61,7 +61,7 @@
         objects::call_priority::lease);
 }
 
-void lease_keeper::listed(const objects::listing& leases)
+void lease_renewer::listed(const objects::listing& leases)
 {
     std::vector<fleet::lease_record> records;
     std::vector<std::string> peers;
@@ -100,7 +100,7 @@
         objects::call_priority::lease);
 }
 
-void lease_keeper::remove_abandoned()
+void lease_renewer::remove_abandoned()
 {
     if (!state_.is_watcher()) {
         return;
@@ -119,19 +119,19 @@
         objects::call_priority::status);
 }
 
-void lease_keeper::failed()
+void lease_renewer::failed()
 {
     const std::lock_guard lock(mutex_);
     cycle_.failed(steady::now());
 }
 
-fleet::held_lease lease_keeper::held(time_point now) const
+fleet::held_lease lease_renewer::held(time_point now) const
 {
     const std::lock_guard lock(mutex_);
     return cycle_.held(now);
 }
 
-std::string lease_keeper::owner_of(const std::string& thing, time_point now) const
+std::string lease_renewer::owner_of(const std::string& thing, time_point now) const
 {
     const std::lock_guard lock(mutex_);
     return cycle_.owner_of(thing, now);
--- a/src/keeper/lease_keeper.hpp
+++ b/src/keeper/lease_renewer.hpp
@@ -1,6 +1,6 @@
 /// Renews this VM's lease in the store.
-#ifndef VANILLAGAUGE_KEEPER_LEASE_KEEPER_HPP
-#define VANILLAGAUGE_KEEPER_LEASE_KEEPER_HPP
+#ifndef VANILLAGAUGE_KEEPER_LEASE_RENEWER_HPP
+#define VANILLAGAUGE_KEEPER_LEASE_RENEWER_HPP
 
 #include "fleet/lease.hpp"
 #include "keeper/keeper_state.hpp"
@@ -14,10 +14,10 @@
 
 namespace vanillagauge::keeper {
 
-class lease_keeper {
+class lease_renewer {
 public:
     /// All three must outlive it.
-    lease_keeper(keeper_state& state, objects::object_client& store, wire::event_loop& loop);
+    lease_renewer(keeper_state& state, objects::object_client& store, wire::event_loop& loop);
 
     void start() { turn(); }
     /// Runs with the peer addresses that the leases name, after each list.
--- a/src/keeper/main.cpp
+++ b/src/keeper/main.cpp
@@ -3,7 +3,7 @@
 #include "keeper/config_feed.hpp"
 #include "keeper/gossip.hpp"
 #include "keeper/services.hpp"
-#include "keeper/snapshot_keeper.hpp"
+#include "keeper/snapshot_updater.hpp"
 #include "node/node.hpp"
 #include "observe/observe.hpp"
 #include "wire/wire.hpp"
@@ -64,12 +64,12 @@
     wire::http_server operators(operator_calls, {},
                                 {{"/metrics", [&] { return page(state, exchange, store); }}});
     keeper::config_feed feed(state, store, loop);
-    keeper::lease_keeper lease(state, store, loop);
-    keeper::config_counter census(state, loop, settings.tokens.peer);
+    keeper::lease_renewer lease(state, store, loop);
+    keeper::config_counter counter(state, loop, settings.tokens.peer);
     keeper::peer_service peer_service(state, exchange);
     keeper::local_service local_service(state, store, lease, loop);
     keeper::operator_watch watches(state, loop);
-    keeper::operator_service operator_service(state, store, census, watches);
+    keeper::operator_service operator_service(state, store, counter, watches);
     peer_calls.mount(peer_service, wire::role::peer);
     peer_calls.mount(local_service, wire::role::peer);
     operator_calls.mount(operator_service, wire::role::operators);
@@ -89,7 +89,7 @@
     }
     state.set_addresses({value(peer_address), value(operator_address), value(datagram_address)});
     exchange.on_list_needed([&feed] { feed.list_once(); });
-    keeper::snapshot_keeper snapshots(state, settings.data_folder);
+    keeper::snapshot_updater snapshots(state, settings.data_folder);
     exchange.add_seeds(snapshots.load());
     snapshots.start();
     lease.on_peers(
--- a/src/keeper/operator_service.cpp
+++ b/src/keeper/operator_service.cpp
@@ -24,7 +24,7 @@
     return {error_code::not_found, run_state::not_run, "no object " + kind + "/" + name};
 }
 
-v1::SpreadReply to_message(const config_census& seen)
+v1::SpreadReply to_message(const config_spread& seen)
 {
     v1::SpreadReply reply;
     reply.set_holding(static_cast<int>(seen.holding));
@@ -65,11 +65,11 @@
             done->Run();
             return;
         }
-        census_.count({change.kind, change.name, accepted.version}, wait,
-                      [reply, done](const config_census& seen) {
-                          *reply->mutable_spread() = to_message(seen);
-                          done->Run();
-                      });
+        counter_.count({change.kind, change.name, accepted.version}, wait,
+                       [reply, done](const config_spread& seen) {
+                           *reply->mutable_spread() = to_message(seen);
+                           done->Run();
+                       });
     });
 }
 
@@ -77,7 +77,7 @@
                               v1::SpreadReply* reply, google::protobuf::Closure* done)
 {
     const config::object_version wanted{request->kind(), request->name(), request->version()};
-    census_.count(wanted, milliseconds{request->wait_ms()}, [reply, done](const config_census& seen) {
+    counter_.count(wanted, milliseconds{request->wait_ms()}, [reply, done](const config_spread& seen) {
         *reply = to_message(seen);
         done->Run();
     });
--- a/src/keeper/services.hpp
+++ b/src/keeper/services.hpp
@@ -5,7 +5,7 @@
 #include "keeper/config_counter.hpp"
 #include "keeper/gossip.hpp"
 #include "keeper/keeper_state.hpp"
-#include "keeper/lease_keeper.hpp"
+#include "keeper/lease_renewer.hpp"
 #include "keeper/operator_watch.hpp"
 #include "objects/object_client.hpp"
 
@@ -34,7 +34,7 @@
 
 class local_service final : public v1::KeeperLocal {
 public:
-    local_service(keeper_state& state, objects::object_client& store, const lease_keeper& lease,
+    local_service(keeper_state& state, objects::object_client& store, const lease_renewer& lease,
                   wire::event_loop& loop)
         : state_(state), store_(store), lease_(lease), loop_(loop)
     {
@@ -59,7 +59,7 @@
     };
     keeper_state& state_;
     objects::object_client& store_;
-    const lease_keeper& lease_;
+    const lease_renewer& lease_;
     wire::event_loop& loop_;
     std::mutex mutex_;
     std::map<std::uint64_t, waiting> waiting_;
@@ -71,9 +71,9 @@
 
 class operator_service final : public v1::Operator {
 public:
-    operator_service(keeper_state& state, objects::object_client& store, config_counter& census,
+    operator_service(keeper_state& state, objects::object_client& store, config_counter& counter,
                      operator_watch& watch)
-        : state_(state), store_(store), census_(census), watch_(watch)
+        : state_(state), store_(store), counter_(counter), watch_(watch)
     {
     }
 
@@ -99,7 +99,7 @@
 private:
     keeper_state& state_;
     objects::object_client& store_;
-    config_counter& census_;
+    config_counter& counter_;
     operator_watch& watch_;
 };
 
--- a/src/keeper/snapshot_keeper.cpp
+++ b/src/keeper/snapshot_updater.cpp
@@ -1,4 +1,4 @@
-#include "keeper/snapshot_keeper.hpp"
+#include "keeper/snapshot_updater.hpp"
 
 #include "keeper/snapshot.hpp"
 #include "observe/log.hpp"
@@ -11,12 +11,12 @@
 
 } // namespace
 
-snapshot_keeper::snapshot_keeper(keeper_state& state, const std::string& data_folder)
+snapshot_updater::snapshot_updater(keeper_state& state, const std::string& data_folder)
     : state_(state), path_(data_folder.empty() ? "" : data_folder + "/keeper/snapshot")
 {
 }
 
-std::vector<std::string> snapshot_keeper::load()
+std::vector<std::string> snapshot_updater::load()
 {
     if (path_.empty()) {
         return {};
@@ -31,14 +31,14 @@
     return value(found).peer_addresses;
 }
 
-void snapshot_keeper::start()
+void snapshot_updater::start()
 {
     if (!path_.empty()) {
         disk_.post([this] { turn(); });
     }
 }
 
-void snapshot_keeper::turn()
+void snapshot_updater::turn()
 {
     disk_.after(turn_every, [this] { turn(); });
     const auto revision = state_.config_revision();
@@ -50,7 +50,7 @@
     }
 }
 
-void snapshot_keeper::write()
+void snapshot_updater::write()
 {
     snapshot content;
     content.objects = state_.config_changes_since(0);
--- a/src/keeper/snapshot_keeper.hpp
+++ b/src/keeper/snapshot_updater.hpp
@@ -1,6 +1,6 @@
 /// Loads the snapshot at the start and keeps it up to date.
-#ifndef VANILLAGAUGE_KEEPER_SNAPSHOT_KEEPER_HPP
-#define VANILLAGAUGE_KEEPER_SNAPSHOT_KEEPER_HPP
+#ifndef VANILLAGAUGE_KEEPER_SNAPSHOT_UPDATER_HPP
+#define VANILLAGAUGE_KEEPER_SNAPSHOT_UPDATER_HPP
 
 #include "keeper/keeper_state.hpp"
 #include "wire/event_loop.hpp"
@@ -11,10 +11,10 @@
 namespace vanillagauge::keeper {
 
 /// For a VM without a data folder it does nothing.
-class snapshot_keeper {
+class snapshot_updater {
 public:
     /// The state must outlive it.
-    snapshot_keeper(keeper_state& state, const std::string& data_folder);
+    snapshot_updater(keeper_state& state, const std::string& data_folder);
 
     /// Takes the configuration of the snapshot, where there is a whole one; returns the peers it names.
     std::vector<std::string> load();
