--- a/src/keeper/local_service.cpp
+++ b/src/keeper/local_service.cpp
@@ -6,7 +6,7 @@
 namespace vanillagauge::keeper {
 namespace {
 
-constexpr milliseconds longest_follow{5000};
+constexpr milliseconds max_follow_time{5000};
 
 } // namespace
 
@@ -15,25 +15,25 @@
 {
     state_.update_process(node::from_message(request->self()), steady::now());
     // A revision counts for one life of the keeper; another life's number would hide what has changed since.
-    const bool same_life = request->keeper_incarnation() == state_.incarnation();
-    const waiting follower{same_life ? request->since_revision() : 0,
-                           same_life ? request->members_generation() : 0, reply, done};
-    if (!same_life || state_.config_revision() > follower.since ||
+    const bool same_incarnation = request->keeper_incarnation() == state_.incarnation();
+    const pending_follow follower{same_incarnation ? request->since_revision() : 0,
+                                  same_incarnation ? request->members_generation() : 0, reply, done};
+    if (!same_incarnation || state_.config_revision() > follower.since ||
         state_.members_generation() != follower.members_generation) {
         answer(follower);
         return;
     }
-    std::uint64_t ticket = 0;
+    std::uint64_t id = 0;
     {
         const std::lock_guard lock(mutex_);
-        ticket = ++next_ticket_;
-        waiting_[ticket] = follower;
+        id = ++next_id_;
+        pending_[id] = follower;
     }
-    const auto wait = std::min(milliseconds{request->wait_ms()}, longest_follow);
-    loop_.after(wait, [this, ticket] { expire(ticket); });
+    const auto wait = std::min(milliseconds{request->wait_ms()}, max_follow_time);
+    loop_.after(wait, [this, id] { expire(id); });
 }
 
-void local_service::answer(const waiting& follower) const
+void local_service::answer(const pending_follow& follower) const
 {
     const auto revision = state_.config_revision();
     for (const auto& item : state_.config_changes_since(follower.since)) {
@@ -60,29 +60,29 @@
     follower.done->Run();
 }
 
-void local_service::expire(std::uint64_t ticket)
+void local_service::expire(std::uint64_t id)
 {
-    waiting follower;
+    pending_follow follower;
     {
         const std::lock_guard lock(mutex_);
-        const auto found = waiting_.find(ticket);
-        if (found == waiting_.end()) {
+        const auto found = pending_.find(id);
+        if (found == pending_.end()) {
             return;
         }
         follower = found->second;
-        waiting_.erase(found);
+        pending_.erase(found);
     }
     answer(follower);
 }
 
-void local_service::wake()
+void local_service::notify()
 {
-    std::map<std::uint64_t, waiting> followers;
+    std::map<std::uint64_t, pending_follow> followers;
     {
         const std::lock_guard lock(mutex_);
-        followers.swap(waiting_);
+        followers.swap(pending_);
     }
-    for (const auto& [ticket, follower] : followers) {
+    for (const auto& [id, follower] : followers) {
         answer(follower);
     }
 }
--- a/src/keeper/main.cpp
+++ b/src/keeper/main.cpp
@@ -74,8 +74,8 @@
     peer_calls.mount(local_service, wire::role::peer);
     operator_calls.mount(operator_service, wire::role::operators);
     state.on_change([&local_service, &watches] {
-        local_service.wake();
-        watches.wake();
+        local_service.notify();
+        watches.notify();
     });
 
     const auto peer_address = peers.open(settings.keeper.peer_listen);
--- a/src/keeper/operator_watch.cpp
+++ b/src/keeper/operator_watch.cpp
@@ -8,11 +8,11 @@
 namespace vanillagauge::keeper {
 namespace {
 
-constexpr milliseconds longest_watch{30000};
+constexpr milliseconds max_watch_time{30000};
 /// A stopped loop would expire no watcher, and a burst of them must not keep answers in memory for ever.
-constexpr std::size_t most_watchers = 256;
+constexpr std::size_t max_watches = 256;
 
-bool concerns(const std::string& kind, const config::object& item)
+bool matches(const std::string& kind, const config::object& item)
 {
     return kind.empty() || kind == item.kind;
 }
@@ -38,70 +38,71 @@
 {
     // A revision counts for one life of the keeper. A number beyond the present one is from another life, and
     // waiting for it would hide every change until it is reached.
-    const bool other_life = request.since_revision() > state_.config_revision();
-    const waiting watcher{request.kind(), other_life ? 0 : request.since_revision(), reply, done};
-    const auto longest = std::clamp(milliseconds{request.wait_ms()}, milliseconds{0}, longest_watch);
-    std::uint64_t ticket = 0;
+    const bool other_incarnation = request.since_revision() > state_.config_revision();
+    const pending_watch watcher{request.kind(), other_incarnation ? 0 : request.since_revision(), reply,
+                                done};
+    const auto wait_time = std::clamp(milliseconds{request.wait_ms()}, milliseconds{0}, max_watch_time);
+    std::uint64_t id = 0;
     {
         const std::lock_guard lock(mutex_);
-        // Looked at under the lock that `wake` takes: a change in between would be missed until the next.
-        if (!stopped_ && longest.count() > 0 && waiting_.size() < most_watchers && !has_news(watcher)) {
-            ticket = ++next_ticket_;
-            waiting_[ticket] = watcher;
+        // Looked at under the lock that `notify` takes: a change in between would be missed until the next.
+        if (!stopped_ && wait_time.count() > 0 && pending_.size() < max_watches && !has_changes(watcher)) {
+            id = ++next_id_;
+            pending_[id] = watcher;
         }
     }
-    if (ticket == 0) {
+    if (id == 0) {
         answer(watcher);
         return;
     }
-    loop_.after(longest, [this, ticket] { expire(ticket); });
+    loop_.after(wait_time, [this, id] { expire(id); });
 }
 
-bool operator_watch::has_news(const waiting& watcher) const
+bool operator_watch::has_changes(const pending_watch& watcher) const
 {
     const auto changes = state_.config_changes_since(watcher.since);
     return std::any_of(changes.begin(), changes.end(),
-                       [&watcher](const config::object& item) { return concerns(watcher.kind, item); });
+                       [&watcher](const config::object& item) { return matches(watcher.kind, item); });
 }
 
-void operator_watch::answer(const waiting& watcher) const
+void operator_watch::answer(const pending_watch& watcher) const
 {
     // The revision first: a change after it comes again with the next watch, and none is lost.
     watcher.reply->set_revision(state_.config_revision());
     for (const auto& item : state_.config_changes_since(watcher.since)) {
-        if (concerns(watcher.kind, item)) {
+        if (matches(watcher.kind, item)) {
             *watcher.reply->add_objects() = to_operator_object(item);
         }
     }
     watcher.done->Run();
 }
 
-void operator_watch::expire(std::uint64_t ticket)
+void operator_watch::expire(std::uint64_t id)
 {
-    waiting watcher;
+    pending_watch watcher;
     {
         const std::lock_guard lock(mutex_);
-        const auto found = waiting_.find(ticket);
-        if (found == waiting_.end()) {
+        const auto found = pending_.find(id);
+        if (found == pending_.end()) {
             return;
         }
         watcher = found->second;
-        waiting_.erase(found);
+        pending_.erase(found);
     }
     answer(watcher);
 }
 
-void operator_watch::wake()
+void operator_watch::notify()
 {
-    std::vector<waiting> ready;
+    std::vector<pending_watch> ready;
     {
         const std::lock_guard lock(mutex_);
-        std::erase_if(waiting_, [this, &ready](const auto& entry) {
-            const bool news = has_news(entry.second);
-            if (news) {
+        std::erase_if(pending_, [this, &ready](const auto& entry) {
+            const bool changed = has_changes(entry.second);
+            if (changed) {
                 ready.push_back(entry.second);
             }
-            return news;
+            return changed;
         });
     }
     for (const auto& watcher : ready) {
@@ -111,13 +112,13 @@
 
 void operator_watch::stop()
 {
-    std::map<std::uint64_t, waiting> all;
+    std::map<std::uint64_t, pending_watch> all;
     {
         const std::lock_guard lock(mutex_);
         stopped_ = true;
-        all.swap(waiting_);
+        all.swap(pending_);
     }
-    for (const auto& [ticket, watcher] : all) {
+    for (const auto& [id, watcher] : all) {
         answer(watcher);
     }
 }
--- a/src/keeper/operator_watch.hpp
+++ b/src/keeper/operator_watch.hpp
@@ -22,12 +22,12 @@
     /// Answers once there is a change after the asked revision, or the asked time is over.
     void wait(const v1::WatchRequest& request, v1::WatchReply* reply, google::protobuf::Closure* done);
     /// Answers those whose change has come.
-    void wake();
+    void notify();
     /// Answers all, and all that come later at once: the process is to stop.
     void stop();
 
 private:
-    struct waiting {
+    struct pending_watch {
         std::string kind;
         std::uint64_t since = 0;
         v1::WatchReply* reply = nullptr;
@@ -36,13 +36,13 @@
     const keeper_state& state_;
     wire::event_loop& loop_;
     std::mutex mutex_;
-    std::map<std::uint64_t, waiting> waiting_;
-    std::uint64_t next_ticket_ = 0;
+    std::map<std::uint64_t, pending_watch> pending_;
+    std::uint64_t next_id_ = 0;
     bool stopped_ = false;
 
-    bool has_news(const waiting& watcher) const;
-    void answer(const waiting& watcher) const;
-    void expire(std::uint64_t ticket);
+    bool has_changes(const pending_watch& watcher) const;
+    void answer(const pending_watch& watcher) const;
+    void expire(std::uint64_t id);
 };
 
 } // namespace vanillagauge::keeper
--- a/src/keeper/services.hpp
+++ b/src/keeper/services.hpp
@@ -48,10 +48,10 @@
               google::protobuf::Closure* done) override;
 
     /// Answers every follower that waits.
-    void wake();
+    void notify();
 
 private:
-    struct waiting {
+    struct pending_follow {
         std::uint64_t since = 0;
         std::uint64_t members_generation = 0;
         v1::FollowReply* reply = nullptr;
@@ -62,11 +62,11 @@
     const lease_renewer& lease_;
     wire::event_loop& loop_;
     std::mutex mutex_;
-    std::map<std::uint64_t, waiting> waiting_;
-    std::uint64_t next_ticket_ = 0;
+    std::map<std::uint64_t, pending_follow> pending_;
+    std::uint64_t next_id_ = 0;
 
-    void answer(const waiting& follower) const;
-    void expire(std::uint64_t ticket);
+    void answer(const pending_follow& follower) const;
+    void expire(std::uint64_t id);
 };
 
 class operator_service final : public v1::Operator {
--- a/tests/keeper/operator_watch_tests.cpp
+++ b/tests/keeper/operator_watch_tests.cpp
@@ -31,7 +31,7 @@
     void change(const std::string& kind, std::uint64_t version)
     {
         state.merge_config({{kind, "a", version, "{}", false}}, config::object_source::store);
-        watches.wake();
+        watches.notify();
     }
 
     static v1::WatchRequest request(const std::string& kind, std::uint64_t since, milliseconds wait)
