--- a/src/keeper/config_counter.cpp
+++ b/src/keeper/config_counter.cpp
@@ -8,21 +8,21 @@
 namespace vanillagauge::keeper {
 namespace {
 
-constexpr milliseconds round_every{200};
-constexpr milliseconds ask_timeout{1000};
-constexpr milliseconds longest_wait{30000};
+constexpr milliseconds poll_interval{200};
+constexpr milliseconds query_timeout{1000};
+constexpr milliseconds max_wait{30000};
 /// Questions under way at a time, so that a count over hundreds of nodes opens no hundreds of connections.
-constexpr std::size_t most_questions = 16;
+constexpr std::size_t max_queries = 16;
 
 } // namespace
 
 /// Touched on the loop's thread only.
-struct config_counter::counting {
+struct config_counter::pending_count {
     config::object_version wanted;
     time_point end;
     on_counted on_done;
     std::set<std::string> holding;
-    std::set<std::string> asked;
+    std::set<std::string> in_flight;
 };
 
 config_counter::config_counter(const keeper_state& state, wire::event_loop& loop, std::string token)
@@ -32,77 +32,77 @@
 
 void config_counter::count(const config::object_version& wanted, milliseconds wait, on_counted on_done)
 {
-    auto job = std::make_shared<counting>();
-    job->wanted = wanted;
-    job->end = steady::now() + std::min(wait, longest_wait);
-    job->on_done = std::move(on_done);
-    loop_.post([this, job] { round(job); });
+    auto pending = std::make_shared<pending_count>();
+    pending->wanted = wanted;
+    pending->end = steady::now() + std::min(wait, max_wait);
+    pending->on_done = std::move(on_done);
+    loop_.post([this, pending] { poll(pending); });
 }
 
-void config_counter::round(const std::shared_ptr<counting>& job)
+void config_counter::poll(const std::shared_ptr<pending_count>& pending)
 {
     const auto now = steady::now();
     const auto self = state_.self();
     peers_.close_idle(now);
-    if (state_.config_version_of(job->wanted.kind, job->wanted.name) >= job->wanted.version) {
-        job->holding.insert(self.vm);
+    if (state_.config_version_of(pending->wanted.kind, pending->wanted.name) >= pending->wanted.version) {
+        pending->holding.insert(self.vm);
     }
-    bool whole = true;
+    bool complete = true;
     for (const auto& member : state_.members()) {
         const auto& vm = member.info.vm;
-        if (member.state != fleet::member_state::alive || job->holding.contains(vm)) {
+        if (member.state != fleet::member_state::alive || pending->holding.contains(vm)) {
             continue;
         }
-        whole = false;
-        if (vm != self.vm && !job->asked.contains(vm) && job->asked.size() < most_questions) {
-            ask(job, member.info);
+        complete = false;
+        if (vm != self.vm && !pending->in_flight.contains(vm) && pending->in_flight.size() < max_queries) {
+            query(pending, member.info);
         }
     }
-    if (whole || now >= job->end) {
-        finish(job);
+    if (complete || now >= pending->end) {
+        finish(pending);
         return;
     }
-    loop_.after(round_every, [this, job] { round(job); });
+    loop_.after(poll_interval, [this, pending] { poll(pending); });
 }
 
-void config_counter::ask(const std::shared_ptr<counting>& job, const fleet::node& peer)
+void config_counter::query(const std::shared_ptr<pending_count>& pending, const fleet::node& peer)
 {
-    job->asked.insert(peer.vm);
+    pending->in_flight.insert(peer.vm);
     v1::ConfigHeldRequest request;
-    request.set_kind(job->wanted.kind);
-    request.set_name(job->wanted.name);
+    request.set_kind(pending->wanted.kind);
+    request.set_name(pending->wanted.name);
     wire::call_options options;
-    options.timeout = ask_timeout;
+    options.timeout = query_timeout;
     options.token = token_;
     const auto channel = peers_.at(peer.peer_address, steady::now());
     wire::call<v1::ConfigHeldReply>(
         *channel, wire::method<v1::KeeperPeer>("ConfigHeld"), request, options,
-        [this, job, channel, vm = peer.vm](const result<v1::ConfigHeldReply>& reply) {
-            const bool holds = ok(reply) && value(reply).version() >= job->wanted.version;
-            loop_.post([job, vm, holds] {
-                job->asked.erase(vm);
+        [this, pending, channel, vm = peer.vm](const result<v1::ConfigHeldReply>& reply) {
+            const bool holds = ok(reply) && value(reply).version() >= pending->wanted.version;
+            loop_.post([pending, vm, holds] {
+                pending->in_flight.erase(vm);
                 if (holds) {
-                    job->holding.insert(vm);
+                    pending->holding.insert(vm);
                 }
             });
         });
 }
 
-void config_counter::finish(const std::shared_ptr<counting>& job)
+void config_counter::finish(const std::shared_ptr<pending_count>& pending)
 {
     config_spread seen;
     for (const auto& member : state_.members()) {
         if (member.state != fleet::member_state::alive) {
             continue;
         }
-        if (job->holding.contains(member.info.vm)) {
+        if (pending->holding.contains(member.info.vm)) {
             ++seen.holding;
         }
         else {
             seen.missing.push_back(member.info.vm);
         }
     }
-    job->on_done(seen);
+    pending->on_done(seen);
 }
 
 } // namespace vanillagauge::keeper
--- a/src/keeper/config_counter.hpp
+++ b/src/keeper/config_counter.hpp
@@ -29,15 +29,15 @@
     void count(const config::object_version& wanted, milliseconds wait, on_counted on_done);
 
 private:
-    struct counting;
+    struct pending_count;
     const keeper_state& state_;
     wire::event_loop& loop_;
     std::string token_;
     channel_cache peers_;
 
-    void round(const std::shared_ptr<counting>& job);
-    void ask(const std::shared_ptr<counting>& job, const fleet::node& peer);
-    void finish(const std::shared_ptr<counting>& job);
+    void poll(const std::shared_ptr<pending_count>& pending);
+    void query(const std::shared_ptr<pending_count>& pending, const fleet::node& peer);
+    void finish(const std::shared_ptr<pending_count>& pending);
 };
 
 } // namespace vanillagauge::keeper
--- a/src/keeper/config_feed.cpp
+++ b/src/keeper/config_feed.cpp
@@ -10,11 +10,11 @@
 
 constexpr milliseconds watch_wait{10000};
 /// Leaves a VM that starts the time to hear of its peers.
-constexpr milliseconds first_turn{300};
-constexpr milliseconds turn_every{100};
-constexpr milliseconds first_pause{500};
-constexpr milliseconds longest_pause{8000};
-constexpr int most_doublings = 5;
+constexpr milliseconds start_delay{300};
+constexpr milliseconds tick_interval{100};
+constexpr milliseconds initial_backoff{500};
+constexpr milliseconds max_backoff{8000};
+constexpr int max_doublings = 5;
 constexpr int failures_before_handover = 3;
 
 } // namespace
@@ -36,7 +36,7 @@
     return {item.kind, item.name, item.version, item.value, item.deleted};
 }
 
-void config_feed::take(const std::vector<objects::stored_object>& items)
+void config_feed::merge_events(const std::vector<objects::stored_object>& items)
 {
     std::vector<config::object> objects;
     for (const auto& item : items) {
@@ -49,19 +49,19 @@
 
 void config_feed::start()
 {
-    loop_.after(first_turn, [this] { turn(); });
+    loop_.after(start_delay, [this] { tick(); });
 }
 
 // A VM that starts asks its peers first; only where it is chosen to watch does it call the store. After an
 // outage hundreds of VMs would otherwise list the whole configuration at the same moment.
-void config_feed::turn()
+void config_feed::tick()
 {
-    loop_.after(turn_every, [this] { turn(); });
-    if (under_way_ || !state_.is_watcher()) {
-        listed_ = listed_ && under_way_;
+    loop_.after(tick_interval, [this] { tick(); });
+    if (in_progress_ || !state_.is_watcher()) {
+        listed_ = listed_ && in_progress_;
         return;
     }
-    under_way_ = true;
+    in_progress_ = true;
     if (listed_) {
         watch();
     }
@@ -72,7 +72,7 @@
                     failed(failure(revision), false);
                     return;
                 }
-                since_ = value(revision);
+                watch_revision_ = value(revision);
                 listed_ = true;
                 succeeded();
             });
@@ -83,28 +83,28 @@
 void config_feed::succeeded()
 {
     failures_ = 0;
-    under_way_ = false;
+    in_progress_ = false;
     state_.set_watch_failing(false);
 }
 
-void config_feed::failed(const error& failure, bool by_watch)
+void config_feed::failed(const error& failure, bool watching)
 {
     // The own budget says nothing about the store: this VM goes on watching when it may.
     if (failure.code == error_code::overloaded) {
-        loop_.after(failure.retry_after, [this] { under_way_ = false; });
+        loop_.after(failure.retry_after, [this] { in_progress_ = false; });
         return;
     }
-    observe::log(observe::log_level::warning, by_watch ? "store_watch_failed" : "store_list_failed",
+    observe::log(observe::log_level::warning, watching ? "store_watch_failed" : "store_list_failed",
                  {{"detail", failure.detail}});
     ++failures_;
     // Another VM may have a better path to the store. If none has, the choice falls back to all.
     state_.set_watch_failing(failures_ >= failures_before_handover);
-    listed_ = listed_ && !by_watch; // a broken watch may have lost events: list before the next
+    listed_ = listed_ && !watching; // a broken watch may have lost events: list before the next
     thread_local std::mt19937_64 random{std::random_device{}()};
-    const auto doubled = first_pause * (1 << std::min(failures_, most_doublings));
-    const auto most = std::min<milliseconds>(doubled, longest_pause);
-    const milliseconds pause{random() % static_cast<std::uint64_t>(most.count())};
-    loop_.after(pause, [this] { under_way_ = false; });
+    const auto doubled = initial_backoff * (1 << std::min(failures_, max_doublings));
+    const auto max = std::min<milliseconds>(doubled, max_backoff);
+    const milliseconds backoff{random() % static_cast<std::uint64_t>(max.count())};
+    loop_.after(backoff, [this] { in_progress_ = false; });
 }
 
 void config_feed::list_once()
@@ -114,11 +114,11 @@
 
 // The watch goes on from the first listing's revision: what changed while the others were listed comes again,
 // and higher versions win.
-void config_feed::list(std::size_t place, std::uint64_t revision,
+void config_feed::list(std::size_t index, std::uint64_t revision,
                        std::function<void(result<std::uint64_t>)> on_done)
 {
-    const auto& kind = config_kinds()[place];
-    store_.list(kind, [this, place, revision, kind,
+    const auto& kind = config_kinds()[index];
+    store_.list(kind, [this, index, revision, kind,
                        on_done = std::move(on_done)](const result<objects::listing>& reply) mutable {
         if (!ok(reply)) {
             on_done(failure(reply));
@@ -129,33 +129,34 @@
             objects.push_back(to_config(item));
         }
         state_.merge_listing(kind, objects, value(reply).revision);
-        const auto first = place == 0 ? value(reply).revision : revision;
-        if (place + 1 == config_kinds().size()) {
+        const auto first = index == 0 ? value(reply).revision : revision;
+        if (index + 1 == config_kinds().size()) {
             on_done(first);
             return;
         }
-        list(place + 1, first, std::move(on_done));
+        list(index + 1, first, std::move(on_done));
     });
 }
 
 void config_feed::watch()
 {
-    store_.watch(config_kinds(), since_, watch_wait, [this](const result<objects::watch_events>& reply) {
-        loop_.post([this, reply] {
-            if (!ok(reply)) {
-                failed(failure(reply), true);
-                return;
-            }
-            if (value(reply).compacted) {
-                listed_ = false;
-            }
-            else {
-                take(value(reply).objects);
-                since_ = value(reply).revision;
-            }
-            succeeded();
-        });
-    });
+    store_.watch(config_kinds(), watch_revision_, watch_wait,
+                 [this](const result<objects::watch_events>& reply) {
+                     loop_.post([this, reply] {
+                         if (!ok(reply)) {
+                             failed(failure(reply), true);
+                             return;
+                         }
+                         if (value(reply).compacted) {
+                             listed_ = false;
+                         }
+                         else {
+                             merge_events(value(reply).objects);
+                             watch_revision_ = value(reply).revision;
+                         }
+                         succeeded();
+                     });
+                 });
 }
 
 } // namespace vanillagauge::keeper
--- a/src/keeper/config_feed.hpp
+++ b/src/keeper/config_feed.hpp
@@ -31,18 +31,18 @@
     keeper_state& state_;
     objects::object_client& store_;
     wire::event_loop& loop_;
-    std::uint64_t since_ = 0;
+    std::uint64_t watch_revision_ = 0;
     int failures_ = 0;
-    bool listed_ = false;    ///< `since_` is the store's
-    bool under_way_ = false; ///< a list or a watch is out
+    bool listed_ = false;      ///< `watch_revision_` is the store's
+    bool in_progress_ = false; ///< a list or a watch is out
 
-    void turn();
+    void tick();
     /// Lists kind after kind, then calls `on_done` with the first listing's revision or the failure.
-    void list(std::size_t place, std::uint64_t revision, std::function<void(result<std::uint64_t>)> on_done);
+    void list(std::size_t index, std::uint64_t revision, std::function<void(result<std::uint64_t>)> on_done);
     void watch();
     void succeeded();
-    void failed(const error& failure, bool by_watch);
-    void take(const std::vector<objects::stored_object>& items);
+    void failed(const error& failure, bool watching);
+    void merge_events(const std::vector<objects::stored_object>& items);
 };
 
 } // namespace vanillagauge::keeper
--- a/src/keeper/datagram_link.cpp
+++ b/src/keeper/datagram_link.cpp
@@ -17,7 +17,7 @@
 
 using boost::asio::ip::udp;
 
-constexpr std::size_t receive_size = 2048;
+constexpr std::size_t receive_buffer_size = 2048;
 constexpr std::size_t mac_size = 16;
 
 /// A shortened HMAC-SHA256: whoever cannot reach the peers' services must not be able to bury a VM either. An
@@ -42,7 +42,7 @@
     udp::socket socket;
     std::string token;
     receiver on_datagram;
-    std::array<char, receive_size> buffer{};
+    std::array<char, receive_buffer_size> buffer{};
     udp::endpoint from;
     std::atomic<std::uint64_t> sent{0};
     std::atomic<std::uint64_t> sent_bytes{0};
@@ -60,13 +60,13 @@
                 }
                 // An error here is an ICMP answer to an earlier datagram: a peer is gone.
                 if (!failed) {
-                    self->take({self->buffer.data(), size});
+                    self->handle({self->buffer.data(), size});
                 }
                 self->listen();
             });
     }
 
-    void take(std::string_view bytes)
+    void handle(std::string_view bytes)
     {
         ++received;
         received_bytes += bytes.size();
--- a/src/keeper/explain.cpp
+++ b/src/keeper/explain.cpp
@@ -7,7 +7,7 @@
 
 using lines = std::vector<std::string>;
 
-std::string described(fleet::member_state state)
+std::string describe_state(fleet::member_state state)
 {
     switch (state) {
     case fleet::member_state::alive:
@@ -35,7 +35,8 @@
         into.push_back("vm " + vm + " is not known here");
         return;
     }
-    into.push_back("vm " + vm + " in " + member->info.failure_domain + " is " + described(member->state));
+    into.push_back("vm " + vm + " in " + member->info.failure_domain + " is " +
+                   describe_state(member->state));
     if (member->info.draining) {
         into.push_back("it is draining: address advice leaves it out and it owns no jobs");
     }
@@ -47,13 +48,13 @@
 
 void add_job(const keeper_state& state, const std::string& subject, lines& into)
 {
-    std::vector<std::string> able;
+    std::vector<std::string> eligible;
     for (const auto& member : state.members()) {
         if (member.state == fleet::member_state::alive && !member.info.draining) {
-            able.push_back(member.info.vm);
+            eligible.push_back(member.info.vm);
         }
     }
-    const auto owners = fleet::ranked_owners(subject, able);
+    const auto owners = fleet::ranked_owners(subject, eligible);
     for (const auto& vm : owners) {
         into.push_back((vm == owners.front() ? "owner by rank: " : "successor: ") + vm);
     }
@@ -87,9 +88,9 @@
     int reached = 0;
     int alive = 0;
     for (const auto& member : state.members()) {
-        const bool lives = member.state == fleet::member_state::alive;
-        alive += lives ? 1 : 0;
-        reached += lives && member.info.config_version >= object.version ? 1 : 0;
+        const bool live = member.state == fleet::member_state::alive;
+        alive += live ? 1 : 0;
+        reached += live && member.info.config_version >= object.version ? 1 : 0;
     }
     into.push_back("live VMs that hold this version or a newer change: " + std::to_string(reached) + " of " +
                    std::to_string(alive));
--- a/src/keeper/lease_renewer.cpp
+++ b/src/keeper/lease_renewer.cpp
@@ -8,24 +8,24 @@
 namespace {
 
 constexpr const char* lease_kind = "lease";
-constexpr milliseconds turn_every{250};
+constexpr milliseconds tick_interval{250};
 
 /// The value of a lease object: its length in milliseconds and the keeper's address. Its name is the VM's.
 struct lease_value {
-    std::int64_t length = 0;
+    std::int64_t ttl = 0;
     std::string peer_address;
 };
 
 lease_value parse_value(const std::string& text)
 {
     lease_value parsed;
-    std::istringstream(text) >> parsed.length >> parsed.peer_address;
+    std::istringstream(text) >> parsed.ttl >> parsed.peer_address;
     return parsed;
 }
 
-std::string to_text(milliseconds length, const std::string& peer_address)
+std::string to_text(milliseconds ttl, const std::string& peer_address)
 {
-    return std::to_string(length.count()) + " " + peer_address;
+    return std::to_string(ttl.count()) + " " + peer_address;
 }
 
 } // namespace
@@ -35,9 +35,9 @@
 {
 }
 
-void lease_renewer::turn()
+void lease_renewer::tick()
 {
-    loop_.after(turn_every, [this] { turn(); });
+    loop_.after(tick_interval, [this] { tick(); });
     const auto members = state_.member_count();
     store_.share_between(members);
     const bool begins = [this, members] {
@@ -52,22 +52,22 @@
         lease_kind,
         [this](const result<objects::listing>& reply) {
             if (ok(reply)) {
-                listed(value(reply));
+                on_listed(value(reply));
             }
             else {
-                failed();
+                on_failed();
             }
         },
         objects::call_priority::lease);
 }
 
-void lease_renewer::listed(const objects::listing& leases)
+void lease_renewer::on_listed(const objects::listing& leases)
 {
     std::vector<fleet::lease_record> records;
     std::vector<std::string> peers;
     for (const auto& item : leases.objects) {
         const auto parsed = parse_value(item.value);
-        records.push_back({item.name, item.version, milliseconds{parsed.length}});
+        records.push_back({item.name, item.version, milliseconds{parsed.ttl}});
         if (item.name != vm_ && !parsed.peer_address.empty()) {
             peers.push_back(parsed.peer_address);
         }
@@ -88,38 +88,38 @@
             if (!ok(stored)) {
                 observe::log(observe::log_level::warning, "lease_not_renewed",
                              {{"detail", failure(stored).detail}});
-                failed();
+                on_failed();
                 return;
             }
             {
                 const std::lock_guard lock(mutex_);
                 cycle_.renewed(value(stored).version, steady::now());
             }
-            remove_abandoned();
+            delete_abandoned();
         },
         objects::call_priority::lease);
 }
 
-void lease_renewer::remove_abandoned()
+void lease_renewer::delete_abandoned()
 {
     if (!state_.is_watcher()) {
         return;
     }
-    const auto left_behind = [this] {
+    const auto abandoned = [this] {
         const std::lock_guard lock(mutex_);
         return cycle_.abandoned(steady::now());
     }();
-    if (left_behind.empty()) {
+    if (abandoned.empty()) {
         return;
     }
     // One in a cycle, and only in the version that was seen: a VM that renews it in the meantime keeps it.
-    const auto& oldest = left_behind.front();
+    const auto& oldest = abandoned.front();
     store_.write_object(
         {lease_kind, oldest.vm, "", oldest.version, true}, [](const objects::write_outcome&) {},
         objects::call_priority::status);
 }
 
-void lease_renewer::failed()
+void lease_renewer::on_failed()
 {
     const std::lock_guard lock(mutex_);
     cycle_.failed(steady::now());
@@ -131,10 +131,10 @@
     return cycle_.held(now);
 }
 
-std::string lease_renewer::owner_of(const std::string& thing, time_point now) const
+std::string lease_renewer::owner_of(const std::string& key, time_point now) const
 {
     const std::lock_guard lock(mutex_);
-    return cycle_.owner_of(thing, now);
+    return cycle_.owner_of(key, now);
 }
 
 } // namespace vanillagauge::keeper
--- a/src/keeper/lease_renewer.hpp
+++ b/src/keeper/lease_renewer.hpp
@@ -19,11 +19,11 @@
     /// All three must outlive it.
     lease_renewer(keeper_state& state, objects::object_client& store, wire::event_loop& loop);
 
-    void start() { turn(); }
+    void start() { tick(); }
     /// Runs with the peer addresses that the leases name, after each list.
     void on_peers(std::function<void(std::vector<std::string>)> handler) { on_peers_ = std::move(handler); }
     fleet::held_lease held(time_point now) const;
-    std::string owner_of(const std::string& thing, time_point now) const;
+    std::string owner_of(const std::string& key, time_point now) const;
 
 private:
     keeper_state& state_;
@@ -34,10 +34,10 @@
     fleet::lease_cycle cycle_;
     std::function<void(std::vector<std::string>)> on_peers_;
 
-    void turn();
-    void listed(const objects::listing& leases);
-    void failed();
-    void remove_abandoned();
+    void tick();
+    void on_listed(const objects::listing& leases);
+    void on_failed();
+    void delete_abandoned();
 };
 
 } // namespace vanillagauge::keeper
--- a/src/keeper/main.cpp
+++ b/src/keeper/main.cpp
@@ -20,36 +20,38 @@
     return address.substr(0, address.rfind(':'));
 }
 
-std::string line(const char* metric, std::uint64_t number)
+std::string metric_line(const char* metric, std::uint64_t number)
 {
     const auto name = "vanillagauge_keeper_" + std::string(metric);
     const char* type = name.ends_with("_total") ? " counter\n" : " gauge\n";
     return "# TYPE " + name + type + name + " " + std::to_string(number) + "\n";
 }
 
-std::string page(const keeper::keeper_state& state, const keeper::gossip& exchange,
-                 const objects::object_client& store)
+std::string metrics_page(const keeper::keeper_state& state, const keeper::gossip& gossip,
+                         const objects::object_client& store)
 {
-    const auto datagrams = exchange.counts();
-    const auto peer_calls = exchange.peer_calls();
+    const auto datagrams = gossip.counts();
+    const auto peer_calls = gossip.peer_calls();
     const auto calls = store.counts();
-    return line("datagrams_sent_total", datagrams.sent) +
-           line("datagram_sent_bytes_total", datagrams.sent_bytes) +
-           line("datagrams_received_total", datagrams.received) +
-           line("datagram_received_bytes_total", datagrams.received_bytes) +
-           line("datagrams_refused_total", datagrams.refused) + line("peer_calls_total", peer_calls.calls) +
-           line("peer_call_bytes_total", peer_calls.bytes) + line("store_reads_total", calls.reads) +
-           line("store_writes_total", calls.writes) + line("store_lists_total", calls.lists) +
-           line("store_watches_total", calls.watches) + line("store_over_budget_total", calls.over_budget) +
-           line("config_newest_version", state.config_mark().newest_version) +
-           line("members", state.member_count());
+    return metric_line("datagrams_sent_total", datagrams.sent) +
+           metric_line("datagram_sent_bytes_total", datagrams.sent_bytes) +
+           metric_line("datagrams_received_total", datagrams.received) +
+           metric_line("datagram_received_bytes_total", datagrams.received_bytes) +
+           metric_line("datagrams_refused_total", datagrams.refused) +
+           metric_line("peer_calls_total", peer_calls.calls) +
+           metric_line("peer_call_bytes_total", peer_calls.bytes) +
+           metric_line("store_reads_total", calls.reads) + metric_line("store_writes_total", calls.writes) +
+           metric_line("store_lists_total", calls.lists) + metric_line("store_watches_total", calls.watches) +
+           metric_line("store_over_budget_total", calls.over_budget) +
+           metric_line("config_newest_version", state.config_mark().newest_version) +
+           metric_line("members", state.member_count());
 }
 
 int run(const config::settings& settings)
 {
     wire::event_loop loop;
-    wire::http_channel store_link(loop, settings.platform);
-    objects::object_client store(store_link, loop);
+    wire::http_channel store_channel(loop, settings.platform);
+    objects::object_client store(store_channel, loop);
 
     fleet::node self;
     self.vm = settings.vm;
@@ -60,13 +62,13 @@
     wire::peer_server peers(loop, peer_calls);
 
     keeper::keeper_state state(self, steady::now());
-    keeper::gossip exchange(state, loop, settings);
+    keeper::gossip gossip(state, loop, settings);
     wire::http_server operators(operator_calls, {},
-                                {{"/metrics", [&] { return page(state, exchange, store); }}});
+                                {{"/metrics", [&] { return metrics_page(state, gossip, store); }}});
     keeper::config_feed feed(state, store, loop);
     keeper::lease_renewer lease(state, store, loop);
     keeper::config_counter counter(state, loop, settings.tokens.peer);
-    keeper::peer_service peer_service(state, exchange);
+    keeper::peer_service peer_service(state, gossip);
     keeper::local_service local_service(state, store, lease, loop);
     keeper::operator_watch watches(state, loop);
     keeper::operator_service operator_service(state, store, counter, watches);
@@ -80,7 +82,7 @@
 
     const auto peer_address = peers.open(settings.keeper.peer_listen);
     const auto operator_address = operators.open(settings.keeper.operator_listen);
-    const auto datagram_address = exchange.open(host_of(settings.keeper.peer_listen));
+    const auto datagram_address = gossip.open(host_of(settings.keeper.peer_listen));
     for (const auto* address : {&peer_address, &operator_address, &datagram_address}) {
         if (!ok(*address)) {
             std::cerr << describe(failure(*address)) << "\n";
@@ -88,25 +90,24 @@
         }
     }
     state.set_addresses({value(peer_address), value(operator_address), value(datagram_address)});
-    exchange.on_list_needed([&feed] { feed.list_once(); });
+    gossip.on_list_needed([&feed] { feed.list_once(); });
     keeper::snapshot_updater snapshots(state, settings.data_folder);
-    exchange.add_seeds(snapshots.load());
+    gossip.add_seeds(snapshots.load());
     snapshots.start();
-    lease.on_peers(
-        [&exchange](std::vector<std::string> named) { exchange.set_store_peers(std::move(named)); });
-    exchange.start();
+    lease.on_peers([&gossip](std::vector<std::string> named) { gossip.set_store_peers(std::move(named)); });
+    gossip.start();
     feed.start();
     lease.start();
     node::print_ready("vg-keeper",
                       {{"peer_address", value(peer_address)}, {"operator_address", value(operator_address)}});
     node::wait_for_stop();
     // The loop drops what has not started when it stops, and peers would then take the departure for a death.
-    std::promise<void> told;
+    std::promise<void> leave_sent;
     loop.post([&] {
-        exchange.leave();
-        told.set_value();
+        gossip.leave();
+        leave_sent.set_value();
     });
-    told.get_future().wait();
+    leave_sent.get_future().wait();
     watches.stop();
     operators.close();
     peers.close();
--- a/src/keeper/snapshot.cpp
+++ b/src/keeper/snapshot.cpp
@@ -23,7 +23,7 @@
     return {error_code::unavailable, run_state::in_doubt, what + " " + path + ": " + std::strerror(errno)};
 }
 
-error torn(const std::string& found)
+error incomplete(const std::string& found)
 {
     return {error_code::incomplete, run_state::not_run, "expected a whole snapshot, found " + found};
 }
@@ -82,7 +82,7 @@
 {
     const auto line_end = bytes.find('\n');
     if (line_end == std::string::npos) {
-        return torn("no first line");
+        return incomplete("no first line");
     }
     std::istringstream line(bytes.substr(0, line_end));
     std::string found_format;
@@ -91,14 +91,14 @@
     line >> found_format >> found_digest >> size;
     const auto body = bytes.substr(line_end + 1);
     if (found_format != format) {
-        return torn("the format \"" + found_format + "\"");
+        return incomplete("the format \"" + found_format + "\"");
     }
     if (body.size() != size || digest(body) != found_digest) {
-        return torn(std::to_string(body.size()) + " bytes with digest " + digest(body));
+        return incomplete(std::to_string(body.size()) + " bytes with digest " + digest(body));
     }
     v1::KeeperSnapshot message;
     if (!message.ParseFromString(body)) {
-        return torn("a body that cannot be read");
+        return incomplete("a body that cannot be read");
     }
     snapshot content;
     for (const auto& entry : message.entries()) {
@@ -111,17 +111,17 @@
 result<done> write_snapshot(const std::string& path, const snapshot& content)
 {
     const auto folder = std::filesystem::path(path).parent_path();
-    std::error_code refused;
-    std::filesystem::create_directories(folder, refused);
-    const auto draft = path + ".draft";
+    std::error_code ignored;
+    std::filesystem::create_directories(folder, ignored);
+    const auto temp_path = path + ".draft";
     {
-        const open_file file(draft, O_WRONLY | O_CREAT | O_TRUNC);
+        const open_file file(temp_path, O_WRONLY | O_CREAT | O_TRUNC);
         // Synced before the rename: otherwise a crash may leave the new name with none of the new bytes.
         if (!file.good() || !file.write(encode(content)) || !file.sync()) {
-            return failed("cannot write", draft);
+            return failed("cannot write", temp_path);
         }
     }
-    if (::rename(draft.c_str(), path.c_str()) != 0) {
+    if (::rename(temp_path.c_str(), path.c_str()) != 0) {
         return failed("cannot rename to", path);
     }
     const open_file directory(folder.string(), O_RDONLY | O_DIRECTORY);
--- a/src/keeper/snapshot_updater.cpp
+++ b/src/keeper/snapshot_updater.cpp
@@ -6,8 +6,8 @@
 namespace vanillagauge::keeper {
 namespace {
 
-constexpr milliseconds turn_every{2000};
-constexpr std::size_t most_peers = 32;
+constexpr milliseconds tick_interval{2000};
+constexpr std::size_t max_peers = 32;
 
 } // namespace
 
@@ -34,13 +34,13 @@
 void snapshot_updater::start()
 {
     if (!path_.empty()) {
-        disk_.post([this] { turn(); });
+        disk_.post([this] { tick(); });
     }
 }
 
-void snapshot_updater::turn()
+void snapshot_updater::tick()
 {
-    disk_.after(turn_every, [this] { turn(); });
+    disk_.after(tick_interval, [this] { tick(); });
     const auto revision = state_.config_revision();
     const auto generation = state_.members_generation();
     if (revision != written_revision_ || generation != written_generation_) {
@@ -57,7 +57,7 @@
     const auto self = state_.self();
     for (const auto& member : state_.members()) {
         const bool other = member.info.vm != self.vm && member.state == fleet::member_state::alive;
-        if (other && content.peer_addresses.size() < most_peers) {
+        if (other && content.peer_addresses.size() < max_peers) {
             content.peer_addresses.push_back(member.info.peer_address);
         }
     }
--- a/src/keeper/snapshot_updater.hpp
+++ b/src/keeper/snapshot_updater.hpp
@@ -27,7 +27,7 @@
     std::uint64_t written_generation_ = 0;
     wire::event_loop disk_; ///< its own thread: a slow disk must not delay the failure detector
 
-    void turn();
+    void tick();
     void write();
 };
 
