--- a/tests/config/replica_tests.cpp
+++ b/tests/config/replica_tests.cpp
@@ -85,8 +85,8 @@
     held.merge({"job", "victim", 1, "x", false});
     std::uint64_t version = 1;
     held.merge({"job", "victim", ++version, "", true});
-    for (std::size_t place = 0; place < 2 * replica::max_tombstones; ++place) {
-        const auto name = "job-" + std::to_string(place);
+    for (std::size_t index = 0; index < 2 * replica::max_tombstones; ++index) {
+        const auto name = "job-" + std::to_string(index);
         held.merge({"job", name, ++version, "", true});
     }
     EXPECT_LE(held.versions().size(), replica::max_tombstones);
@@ -102,7 +102,7 @@
     std::mt19937_64 random{11};
     replica held;
     std::map<std::string, std::uint64_t> highest;
-    for (int place = 0; place < 20000; ++place) {
+    for (int step = 0; step < 20000; ++step) {
         const auto name = std::to_string(random() % 20);
         const std::uint64_t version = 1 + random() % 1000;
         const auto before = held.version_of("job", name);
--- a/tests/config/settings_tests.cpp
+++ b/tests/config/settings_tests.cpp
@@ -39,48 +39,49 @@
     EXPECT_FALSE(ok(parse_settings(replaced(valid, "\"vm\":", "\"vmm\": 1, \"vm\":"), "vm.json")));
 }
 
-struct wrong_settings {
-    const char* what;
+struct invalid_settings {
+    const char* name;
     std::string from;
     std::string to;
-    std::string told;
+    std::string message;
 };
 
-class settings_message : public testing::TestWithParam<wrong_settings> {};
+class settings_message : public testing::TestWithParam<invalid_settings> {};
 
 TEST_P(settings_message, names_the_place_what_was_expected_and_what_was_found)
 {
     const auto& wrong = GetParam();
     const auto parsed = parse_settings(replaced(valid, wrong.from, wrong.to), "vm.json");
     ASSERT_FALSE(ok(parsed));
-    EXPECT_EQ(failure(parsed).detail, "vm.json: " + wrong.told);
+    EXPECT_EQ(failure(parsed).detail, "vm.json: " + wrong.message);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     each_rule, settings_message,
     testing::Values(
-        wrong_settings{"type", R"("vm-1")", "7",
-                       "at /vm: expected a string of at least 1 characters, found 7"},
-        wrong_settings{"missing_key", R"("vm": "vm-1",)", "", R"(at /: expected the key "vm", found none)"},
-        wrong_settings{"missing_inner_key", R"("peer": "12345678")", R"("x": 1)",
-                       R"(at /tokens: expected the key "peer", found none)"},
-        wrong_settings{"unknown_inner_key", R"("address": "127.0.0.1:7101")",
-                       R"("address": "127.0.0.1:7101", "seed": [])",
-                       "at /keeper: expected only the keys address, operator_listen, peer_listen and seeds, "
-                       "found the unknown key \"seed\""},
-        wrong_settings{"pattern_behind_a_reference", "127.0.0.1:7101", "nowhere",
-                       R"(at /keeper/address: expected an address as IP:PORT, found "nowhere")"},
-        wrong_settings{"item_of_an_array", R"("address": "127.0.0.1:7101")",
-                       R"("address": "127.0.0.1:7101", "seeds": ["127.0.0.1:1", 5])",
-                       "at /keeper/seeds/1: expected an address as IP:PORT, found 5"},
-        wrong_settings{
+        invalid_settings{"type", R"("vm-1")", "7",
+                         "at /vm: expected a string of at least 1 characters, found 7"},
+        invalid_settings{"missing_key", R"("vm": "vm-1",)", "", R"(at /: expected the key "vm", found none)"},
+        invalid_settings{"missing_inner_key", R"("peer": "12345678")", R"("x": 1)",
+                         R"(at /tokens: expected the key "peer", found none)"},
+        invalid_settings{
+            "unknown_inner_key", R"("address": "127.0.0.1:7101")",
+            R"("address": "127.0.0.1:7101", "seed": [])",
+            "at /keeper: expected only the keys address, operator_listen, peer_listen and seeds, "
+            "found the unknown key \"seed\""},
+        invalid_settings{"pattern_behind_a_reference", "127.0.0.1:7101", "nowhere",
+                         R"(at /keeper/address: expected an address as IP:PORT, found "nowhere")"},
+        invalid_settings{"item_of_an_array", R"("address": "127.0.0.1:7101")",
+                         R"("address": "127.0.0.1:7101", "seeds": ["127.0.0.1:1", 5])",
+                         "at /keeper/seeds/1: expected an address as IP:PORT, found 5"},
+        invalid_settings{
             "enumeration", R"("vm": "vm-1",)", R"("vm": "vm-1", "log_level": "loud",)",
             "at /log_level: expected \"debug\", \"info\", \"warning\" or \"error\", found \"loud\""},
-        wrong_settings{"range", R"("vm": "vm-1",)", R"("vm": "vm-1", "http_threads": 1,)",
-                       "at /http_threads: expected an integer from 2 to 64, found 1"},
-        wrong_settings{"object_for_a_string", R"("vm-1")", R"({"name": "vm-1"})",
-                       R"(at /vm: expected a string of at least 1 characters, found {"name":"vm-1"})"}),
-    [](const testing::TestParamInfo<wrong_settings>& each) { return std::string(each.param.what); });
+        invalid_settings{"range", R"("vm": "vm-1",)", R"("vm": "vm-1", "http_threads": 1,)",
+                         "at /http_threads: expected an integer from 2 to 64, found 1"},
+        invalid_settings{"object_for_a_string", R"("vm-1")", R"({"name": "vm-1"})",
+                         R"(at /vm: expected a string of at least 1 characters, found {"name":"vm-1"})"}),
+    [](const testing::TestParamInfo<invalid_settings>& each) { return std::string(each.param.name); });
 
 /// Alternatives are told as alternatives, wherever the schema has them.
 TEST(schema_message, lists_the_alternatives)
--- a/tests/keeper/operator_watch_tests.cpp
+++ b/tests/keeper/operator_watch_tests.cpp
@@ -22,7 +22,7 @@
     std::future<void> answered_{answered.get_future()};
 };
 
-class operators_watch : public testing::Test {
+class operator_watch_test : public testing::Test {
 protected:
     wire::event_loop loop;
     keeper_state state{fleet::node{}, steady::now()};
@@ -46,7 +46,7 @@
 
 constexpr milliseconds long_wait{20000};
 
-TEST_F(operators_watch, is_answered_by_a_change_of_its_kind_alone)
+TEST_F(operator_watch_test, is_answered_by_a_change_of_its_kind_alone)
 {
     watcher jobs;
     watches.wait(request("job", state.config_revision(), long_wait), &jobs.reply, jobs.done());
@@ -59,7 +59,7 @@
     EXPECT_EQ(jobs.reply.revision(), state.config_revision());
 }
 
-TEST_F(operators_watch, is_answered_at_once_by_a_change_that_came_before_it)
+TEST_F(operator_watch_test, is_answered_at_once_by_a_change_that_came_before_it)
 {
     change("job", 1);
     watcher late;
@@ -68,7 +68,7 @@
     EXPECT_EQ(late.reply.objects_size(), 1);
 }
 
-TEST_F(operators_watch, is_answered_empty_when_its_time_is_over)
+TEST_F(operator_watch_test, is_answered_empty_when_its_time_is_over)
 {
     watcher idle;
     watches.wait(request("", 0, milliseconds{10}), &idle.reply, idle.done());
@@ -78,7 +78,7 @@
 
 /// The keeper was replaced: an operator's revision is from its former life and beyond the new one's. Waiting
 /// for that number would hide every change until it is reached, so all that is held is told again.
-TEST_F(operators_watch, from_an_earlier_life_of_the_keeper_is_told_everything)
+TEST_F(operator_watch_test, from_an_earlier_life_of_the_keeper_is_told_everything)
 {
     change("job", 1);
     watcher other;
@@ -87,7 +87,7 @@
     EXPECT_EQ(other.reply.objects_size(), 1);
 }
 
-TEST_F(operators_watch, holds_no_stop)
+TEST_F(operator_watch_test, holds_no_stop)
 {
     watcher before;
     watches.wait(request("", 0, long_wait), &before.reply, before.done());
--- a/tests/keeper/snapshot_tests.cpp
+++ b/tests/keeper/snapshot_tests.cpp
@@ -59,10 +59,10 @@
     for (std::size_t size = 0; size < whole.size(); ++size) {
         EXPECT_FALSE(ok(decode(whole.substr(0, size)))) << size;
     }
-    for (std::size_t place = 0; place < whole.size(); ++place) {
+    for (std::size_t index = 0; index < whole.size(); ++index) {
         auto changed = whole;
-        changed[place] = static_cast<char>(changed[place] ^ 0x20);
-        EXPECT_FALSE(ok(decode(changed))) << place;
+        changed[index] = static_cast<char>(changed[index] ^ 0x20);
+        EXPECT_FALSE(ok(decode(changed))) << index;
     }
 }
 
