--- a/src/keeper/channel_cache.cpp
+++ b/src/keeper/channel_cache.cpp
@@ -3,8 +3,8 @@
 namespace vanillagauge::keeper {
 namespace {
 
-/// A connection pings twice a second, which for hundreds of peers costs more than all datagrams together; two
-/// seconds cover the calls that follow one another.
+/// A connection sends two PINGs per second, which for hundreds of peers costs more than all datagrams; this
+/// is long enough for consecutive calls to reuse it.
 constexpr milliseconds idle_timeout{2000};
 
 } // namespace
--- a/src/keeper/channel_cache.hpp
+++ b/src/keeper/channel_cache.hpp
@@ -1,4 +1,4 @@
-/// Connections to other keepers that are closed after a while without use.
+/// Caches connections to other keepers and closes them when idle.
 #ifndef VANILLAGAUGE_KEEPER_CHANNEL_CACHE_HPP
 #define VANILLAGAUGE_KEEPER_CHANNEL_CACHE_HPP
 
@@ -17,11 +17,11 @@
     /// The loop must outlive it.
     explicit channel_cache(wire::event_loop& loop) : loop_(loop) {}
 
-    /// Hold the result until the call has ended.
+    /// Returns the cached channel or a new one. Keep it until the call has ended.
     std::shared_ptr<wire::channel> at(const std::string& address, time_point now);
-    /// Closes what was not used for a while.
+    /// Drops the channels not used within the idle timeout.
     void close_idle(time_point now);
-    /// Ends every channel with its calls; further ones are opened as before.
+    /// Closes every channel and cancels its calls; later calls to `at` open new ones.
     void close_all();
 
 private:
--- a/src/keeper/config_counter.cpp
+++ b/src/keeper/config_counter.cpp
@@ -11,12 +11,12 @@
 constexpr milliseconds poll_interval{200};
 constexpr milliseconds query_timeout{1000};
 constexpr milliseconds max_wait{30000};
-/// Questions under way at a time, so that a count over hundreds of nodes opens no hundreds of connections.
+/// Concurrent queries; bounds the connections of a count over hundreds of nodes.
 constexpr std::size_t max_queries = 16;
 
 } // namespace
 
-/// Touched on the loop's thread only.
+/// Accessed only on the loop's thread.
 struct config_counter::pending_count {
     config::object_version wanted;
     time_point end;
--- a/src/keeper/config_counter.hpp
+++ b/src/keeper/config_counter.hpp
@@ -1,4 +1,4 @@
-/// Counts how many living nodes hold a version of an object, by asking each of them.
+/// Counts how many live nodes hold a version of an object, by querying each of them.
 #ifndef VANILLAGAUGE_KEEPER_CONFIG_COUNTER_HPP
 #define VANILLAGAUGE_KEEPER_CONFIG_COUNTER_HPP
 
@@ -15,7 +15,7 @@
 
 struct config_spread {
     std::size_t holding = 0;
-    std::vector<std::string> missing; ///< VMs that do not hold it, or did not say
+    std::vector<std::string> missing; ///< VMs that do not hold it or did not reply
 };
 
 class config_counter {
@@ -25,7 +25,7 @@
     /// The state and the loop must outlive it.
     config_counter(const keeper_state& state, wire::event_loop& loop, std::string token);
 
-    /// Asks until all living nodes hold at least this version, or `wait` is over.
+    /// Polls until all live nodes hold at least this version or `wait` has elapsed.
     void count(const config::object_version& wanted, milliseconds wait, on_counted on_done);
 
 private:
--- a/src/keeper/config_feed.cpp
+++ b/src/keeper/config_feed.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr milliseconds watch_wait{10000};
-/// Leaves a VM that starts the time to hear of its peers.
+/// Gives a starting VM time to discover its peers.
 constexpr milliseconds start_delay{300};
 constexpr milliseconds tick_interval{100};
 constexpr milliseconds initial_backoff{500};
@@ -52,8 +52,8 @@
     loop_.after(start_delay, [this] { tick(); });
 }
 
-// A VM that starts asks its peers first; only where it is chosen to watch does it call the store. After an
-// outage hundreds of VMs would otherwise list the whole configuration at the same moment.
+// A starting VM pulls from its peers and calls the store only if it is chosen as a watcher. Otherwise,
+// after an outage, hundreds of VMs would list the complete configuration at once.
 void config_feed::tick()
 {
     loop_.after(tick_interval, [this] { tick(); });
@@ -89,7 +89,7 @@
 
 void config_feed::failed(const error& failure, bool watching)
 {
-    // The own budget says nothing about the store: this VM goes on watching when it may.
+    // The local call budget is exhausted, which is no failure of the store: retry after the delay.
     if (failure.code == error_code::overloaded) {
         loop_.after(failure.retry_after, [this] { in_progress_ = false; });
         return;
@@ -97,9 +97,9 @@
     observe::log(observe::log_level::warning, watching ? "store_watch_failed" : "store_list_failed",
                  {{"detail", failure.detail}});
     ++failures_;
-    // Another VM may have a better path to the store. If none has, the choice falls back to all.
+    // Hands the watch over to a VM that may still reach the store. If all fail, all remain candidates.
     state_.set_watch_failing(failures_ >= failures_before_handover);
-    listed_ = listed_ && !watching; // a broken watch may have lost events: list before the next
+    listed_ = listed_ && !watching; // a failed watch may have lost events: list before the next
     thread_local std::mt19937_64 random{std::random_device{}()};
     const auto doubled = initial_backoff * (1 << std::min(failures_, max_doublings));
     const auto max = std::min<milliseconds>(doubled, max_backoff);
@@ -112,8 +112,8 @@
     list(0, 0, [](const result<std::uint64_t>&) {});
 }
 
-// The watch goes on from the first listing's revision: what changed while the others were listed comes again,
-// and higher versions win.
+// The watch resumes from the first listing's revision: changes made while the other kinds were listed are
+// delivered again, and the higher version wins.
 void config_feed::list(std::size_t index, std::uint64_t revision,
                        std::function<void(result<std::uint64_t>)> on_done)
 {
--- a/src/keeper/config_feed.hpp
+++ b/src/keeper/config_feed.hpp
@@ -1,4 +1,4 @@
-/// Brings the configuration from the Object API into the keeper's state, on the few VMs that watch it.
+/// Copies the configuration from the Object API into the keeper's state, on the few VMs that watch it.
 #ifndef VANILLAGAUGE_KEEPER_CONFIG_FEED_HPP
 #define VANILLAGAUGE_KEEPER_CONFIG_FEED_HPP
 
@@ -10,7 +10,7 @@
 
 namespace vanillagauge::keeper {
 
-/// The kinds of the operators' objects.
+/// The kinds of configuration objects.
 const std::vector<std::string>& config_kinds();
 bool is_config_kind(const std::string& kind);
 config::object to_config(const objects::stored_object& item);
@@ -33,11 +33,11 @@
     wire::event_loop& loop_;
     std::uint64_t watch_revision_ = 0;
     int failures_ = 0;
-    bool listed_ = false;      ///< `watch_revision_` is the store's
-    bool in_progress_ = false; ///< a list or a watch is out
+    bool listed_ = false;      ///< `watch_revision_` is valid
+    bool in_progress_ = false; ///< a list or watch call, or the delay after a failed one
 
     void tick();
-    /// Lists kind after kind, then calls `on_done` with the first listing's revision or the failure.
+    /// Lists the kinds in sequence, then calls `on_done` with the first listing's revision or an error.
     void list(std::size_t index, std::uint64_t revision, std::function<void(result<std::uint64_t>)> on_done);
     void watch();
     void succeeded();
--- a/src/keeper/datagram_link.cpp
+++ b/src/keeper/datagram_link.cpp
@@ -20,8 +20,8 @@
 constexpr std::size_t receive_buffer_size = 2048;
 constexpr std::size_t mac_size = 16;
 
-/// A shortened HMAC-SHA256: whoever cannot reach the peers' services must not be able to bury a VM either. An
-/// old datagram sent again brings old claims, which lose against the newer ones that are held.
+/// A truncated HMAC-SHA256: only holders of the peer token may declare a VM dead. A replayed datagram carries
+/// old updates, which newer ones override.
 std::string mac_of(const std::string& token, std::string_view body)
 {
     std::array<unsigned char, EVP_MAX_MD_SIZE> digest{};
@@ -58,7 +58,7 @@
                 if (!self->socket.is_open()) {
                     return;
                 }
-                // An error here is an ICMP answer to an earlier datagram: a peer is gone.
+                // An error here reports an ICMP reply to an earlier datagram: that peer is unreachable.
                 if (!failed) {
                     self->handle({self->buffer.data(), size});
                 }
@@ -109,7 +109,7 @@
     }
     if (failed) {
         return error{error_code::unavailable, run_state::not_run,
-                     "expected a free UDP port at " + host + ", found: " + failed.message()};
+                     "cannot bind a UDP port at " + host + ": " + failed.message()};
     }
     state_->listen();
     const auto port = state_->socket.local_endpoint().port();
@@ -125,7 +125,7 @@
     const udp::endpoint to(boost::asio::ip::make_address(value(parsed).host), value(parsed).port);
     const auto body = node::to_message(message).SerializeAsString();
     const auto bytes = mac_of(state_->token, body) + body;
-    boost::system::error_code ignored; // a lost datagram is an ordinary event
+    boost::system::error_code ignored; // datagrams may be lost anyway
     state_->socket.send_to(boost::asio::buffer(bytes), to, 0, ignored);
     ++state_->sent;
     state_->sent_bytes += bytes.size();
--- a/src/keeper/datagram_link.hpp
+++ b/src/keeper/datagram_link.hpp
@@ -1,4 +1,4 @@
-/// The failure detector's datagrams over UDP, each authenticated by the peers' token.
+/// Sends and receives the failure detector's datagrams over UDP, authenticated with the peer token.
 #ifndef VANILLAGAUGE_KEEPER_DATAGRAM_LINK_HPP
 #define VANILLAGAUGE_KEEPER_DATAGRAM_LINK_HPP
 
@@ -12,16 +12,16 @@
 
 namespace vanillagauge::keeper {
 
-/// How much this VM has sent and received, without IP and UDP headers.
+/// Datagrams and bytes sent and received, without IP and UDP headers.
 struct datagram_counts {
     std::uint64_t sent = 0;
     std::uint64_t sent_bytes = 0;
     std::uint64_t received = 0;
     std::uint64_t received_bytes = 0;
-    std::uint64_t refused = 0; ///< not authentic or not readable
+    std::uint64_t refused = 0; ///< failed authentication or parsing
 };
 
-/// All of it runs on the loop's thread, but for `open` and `counts`.
+/// Use on the loop's thread, except `open` and `counts`.
 class datagram_link {
 public:
     using receiver = std::function<void(const fleet::datagram&)>;
@@ -32,7 +32,7 @@
     datagram_link(const datagram_link&) = delete;
     datagram_link& operator=(const datagram_link&) = delete;
 
-    /// Binds a free port of this host; returns the address.
+    /// Binds a free port on this host; returns the address. `unavailable` if binding fails.
     result<std::string> open(const std::string& host);
     void send(const std::string& address, const fleet::datagram& message);
     datagram_counts counts() const;
--- a/src/keeper/explain.cpp
+++ b/src/keeper/explain.cpp
@@ -13,7 +13,7 @@
     case fleet::member_state::alive:
         return "alive";
     case fleet::member_state::suspect:
-        return "suspect: its heartbeats are late, it gets no new work";
+        return "suspect: its heartbeats are late, it receives no new work";
     default:
         break;
     }
@@ -32,13 +32,13 @@
     const auto members = state.members();
     const auto* member = find_member(members, vm);
     if (member == nullptr) {
-        into.push_back("vm " + vm + " is not known here");
+        into.push_back("vm " + vm + " is not a member known to this keeper");
         return;
     }
     into.push_back("vm " + vm + " in " + member->info.failure_domain + " is " +
                    describe_state(member->state));
     if (member->info.draining) {
-        into.push_back("it is draining: address advice leaves it out and it owns no jobs");
+        into.push_back("it is draining: it is excluded from address advice and owns no jobs");
     }
     for (const auto& process : member->info.processes) {
         into.push_back("runs " + process.role + " at " + process.http_address +
@@ -59,7 +59,7 @@
         into.push_back((vm == owners.front() ? "owner by rank: " : "successor: ") + vm);
     }
     if (owners.empty()) {
-        into.push_back("nobody owns it: no VM is alive and not draining");
+        into.push_back("no owner: no VM is alive and not draining");
     }
 }
 
@@ -67,7 +67,7 @@
 {
     const auto parsed = config::parse_deployment(object.name, object.spec_json);
     if (!ok(parsed)) {
-        into.push_back("its spec cannot be read here: " + failure(parsed).detail);
+        into.push_back("its spec cannot be parsed: " + failure(parsed).detail);
         return;
     }
     std::map<std::string, int> in_domain;
@@ -92,8 +92,8 @@
         alive += live ? 1 : 0;
         reached += live && member.info.config_version >= object.version ? 1 : 0;
     }
-    into.push_back("live VMs that hold this version or a newer change: " + std::to_string(reached) + " of " +
-                   std::to_string(alive));
+    into.push_back("live VMs whose configuration is at this version or later: " + std::to_string(reached) +
+                   " of " + std::to_string(alive));
 }
 
 } // namespace
@@ -111,8 +111,7 @@
     const auto object = state.config_find(kind, object_name);
     if (!object) {
         return error{error_code::not_found, run_state::not_run,
-                     "nothing is known of \"" + subject +
-                         "\": expected deployment/NAME, job/NAME, drain/VM or vm/VM"};
+                     "no object \"" + subject + "\": expected deployment/NAME, job/NAME, drain/VM or vm/VM"};
     }
     found.push_back(subject + " is at version " + std::to_string(object->version));
     add_spread(state, *object, found);
--- a/src/keeper/gossip.cpp
+++ b/src/keeper/gossip.cpp
@@ -11,10 +11,10 @@
 constexpr milliseconds tick_interval{50};
 constexpr milliseconds exchange_timeout{2000};
 constexpr milliseconds seed_interval{500};
-/// Two operators' changes accepted on two VMs at once cross on their way: a VM may hold the higher version
-/// and lack the lower. Asking from this many revisions before the newest finds both in one pull.
+/// Concurrent changes accepted on two VMs may arrive out of order: a VM may hold the higher version and lack
+/// the lower. A pull from this many versions before the newest finds both.
 constexpr std::uint64_t pull_overlap = 1024;
-/// An answer is cut here and asked on, so that no message nears the limit of a frame or of memory.
+/// Longer replies are split into several calls, which bounds the frame size and the memory used.
 constexpr std::size_t max_pull_bytes = 256U << 10U;
 
 std::vector<fleet::member_update>
@@ -86,9 +86,9 @@
     loop_.post([this, addresses = std::move(addresses)]() mutable { store_peers_ = std::move(addresses); });
 }
 
-// Seeds serve only a VM that knows nobody alive. Everyone else finds the others through its members. The
-// seeds of the settings may all have been replaced since they were written; the leases in the store name who
-// is there now.
+// Seeds are contacted only while no live peer is known; afterwards members are discovered by gossip. All
+// seeds of the settings may have been replaced since they were written, so the peers listed in the store's
+// leases are contacted too.
 void gossip::contact_seed(time_point now)
 {
     if ((seeds_.empty() && store_peers_.empty()) || now < next_seed_at_) {
@@ -118,8 +118,8 @@
     return candidates[seed_index_++ % candidates.size()];
 }
 
-// VMs that meet in pairs at a common start know somebody each and would stay two fleets for good. So each
-// peer that the store names and no member is known by is asked once.
+// VMs that discover each other in pairs at a simultaneous start would stay separate fleets, as each knows a
+// live peer. So each peer that the store lists and that is no live member is contacted once.
 std::string gossip::next_unknown_peer()
 {
     const auto members = state_.members();
--- a/src/keeper/gossip.hpp
+++ b/src/keeper/gossip.hpp
@@ -12,7 +12,7 @@
 
 namespace vanillagauge::keeper {
 
-/// Calls between keepers that this VM made, with the bytes of questions and answers.
+/// Calls that this VM made to other keepers, with the bytes of requests and replies.
 struct peer_call_counts {
     std::uint64_t calls = 0;
     std::uint64_t bytes = 0;
@@ -23,25 +23,23 @@
     /// The state and the loop must outlive it.
     gossip(keeper_state& state, wire::event_loop& loop, const config::settings& settings);
 
-    // Commands.
-    /// Binds the datagrams' port on this host; returns the address.
+    /// Binds the datagram port on this host; returns the address.
     result<std::string> open(const std::string& host) { return datagrams_.open(host); }
     void start() { tick(); }
-    /// Further peers to ask while nobody is known; call before the start.
+    /// Adds peers to contact while no live peer is known; call before `start`.
     void add_seeds(const std::vector<std::string>& addresses)
     {
         seeds_.insert(seeds_.end(), addresses.begin(), addresses.end());
     }
-    /// Peers that the store names, asked like seeds. May come from any thread.
+    /// Sets the peers listed in the store, contacted like seeds. Safe to call from any thread.
     void set_store_peers(std::vector<std::string> addresses);
-    /// Runs where peers cannot settle a difference and the store must be listed.
+    /// Runs if pulls from peers do not resolve a difference, so that the store must be listed.
     void on_list_needed(std::function<void()> handler) { list_needed_ = std::move(handler); }
-    /// Tells peers that this VM leaves.
+    /// Announces to peers that this VM leaves.
     void leave();
-    /// Ends the probes and the calls to peers; on the loop's thread.
+    /// Stops the probes and cancels the calls to peers; call on the loop's thread.
     void stop();
 
-    // Queries.
     v1::ExchangeReply answer(const v1::ExchangeRequest& request);
     v1::ConfigPullReply answer(const v1::ConfigPullRequest& request) const;
     datagram_counts counts() const { return datagrams_.counts(); }
--- a/src/keeper/keeper_state.cpp
+++ b/src/keeper/keeper_state.cpp
@@ -6,11 +6,10 @@
 namespace vanillagauge::keeper {
 namespace {
 
-/// A program asks its keeper again after half a second at the latest; four missed rounds mean that it is
-/// gone.
+/// A program calls its keeper at least every half second; after four missed calls it counts as stopped.
 constexpr milliseconds process_timeout{2000};
-/// Three watches in three failure domains: a change arrives while any one of them works, and the number of
-/// calls does not grow with the fleet.
+/// Watchers in three failure domains: changes arrive while any one works, and the number of calls does not
+/// grow with the fleet.
 constexpr std::size_t watcher_count = 3;
 
 } // namespace
--- a/src/keeper/keeper_state.hpp
+++ b/src/keeper/keeper_state.hpp
@@ -1,4 +1,4 @@
-/// What a keeper holds: the members, the configuration, and the programs of its VM.
+/// The state of a keeper: the members, the configuration, and the programs of its VM.
 #ifndef VANILLAGAUGE_KEEPER_KEEPER_STATE_HPP
 #define VANILLAGAUGE_KEEPER_KEEPER_STATE_HPP
 
@@ -20,37 +20,35 @@
     std::string datagrams;
 };
 
-/// The members with the generation that they belong to.
+/// A copy of the members and its generation.
 struct members_view {
     std::vector<fleet::member> members;
     std::uint64_t generation = 0;
     bool isolated = false;
 };
 
-/// Safe for several threads; members and configuration are each under their own lock.
+/// Thread-safe; the members and the configuration have a lock each.
 class keeper_state {
 public:
     keeper_state(fleet::node self, time_point now);
 
-    // Commands.
-    /// Runs `handler` after every change, outside all locks.
+    /// Runs `handler` after every change, without holding a lock.
     void on_change(std::function<void()> handler) { handler_ = std::move(handler); }
-    /// Takes the bound addresses, which every statement carries; call before the first tick.
+    /// Sets the bound addresses announced to peers; call before the first tick.
     void set_addresses(const keeper_addresses& addresses);
     bool merge_config(const std::vector<config::object>& incoming,
                       config::object_source source = config::object_source::peer);
     void merge_listing(const std::string& kind, const std::vector<config::object>& listed,
                        std::uint64_t revision);
-    /// Notes that a program of this VM is there.
+    /// Records the state that a program of this VM reports, as its heartbeat.
     void update_process(const fleet::process& program, time_point now);
     void set_watch_failing(bool failing) { watch_failing_ = failing; }
-    /// Judges members and programs; call each 50 to 100 ms.
+    /// Checks members and programs for timeouts; call every 50 to 100 ms.
     fleet::detector_actions tick(time_point now);
     fleet::detector_actions receive(const fleet::datagram& message, time_point now);
     fleet::detector_actions leave(time_point now);
     void merge_updates(const std::vector<fleet::member_update>& updates, time_point now);
 
-    // Queries.
     std::vector<fleet::member> members() const;
     members_view view() const;
     std::size_t member_count() const;
@@ -59,7 +57,7 @@
     std::vector<fleet::member_summary> summary() const;
     fleet::view_difference compare(const std::vector<fleet::member_summary>& theirs) const;
     std::vector<fleet::member_update> updates_for(const std::vector<std::uint64_t>& wanted) const;
-    /// One of the VMs that watch the store for the fleet.
+    /// Whether this VM is one of the few that watch the store for the fleet.
     bool is_watcher() const;
     std::vector<config::object> config_changes_since(std::uint64_t revision) const;
     std::vector<config::object> config_list(const std::string& kind) const;
@@ -85,7 +83,7 @@
     std::map<std::string, observed_process> processes_;
     keeper_addresses addresses_;
     std::uint64_t notified_generation_ = 0;
-    /// The choice of watchers takes a hash of every member; it is made again only when a member changed.
+    /// Choosing the watchers hashes every member, so the result is cached until the generation changes.
     mutable std::uint64_t watcher_generation_ = 0;
     mutable bool is_watcher_ = false;
     mutable std::mutex config_mutex_;
@@ -93,8 +91,9 @@
     std::atomic<bool> watch_failing_{false};
 
     void notify_change() const;
-    /// Both under the members' lock.
+    /// Requires the members' lock.
     void announce(bool drains, const config::replica_mark& mark, time_point now);
+    /// True if the generation has changed since the last call. Requires the members' lock.
     bool update_generation();
 };
 
--- a/src/keeper/lease_renewer.cpp
+++ b/src/keeper/lease_renewer.cpp
@@ -10,7 +10,8 @@
 constexpr const char* lease_kind = "lease";
 constexpr milliseconds tick_interval{250};
 
-/// The value of a lease object: its length in milliseconds and the keeper's address. Its name is the VM's.
+/// The value of a lease object, which is named after its VM: the ttl in milliseconds and the keeper's
+/// address.
 struct lease_value {
     std::int64_t ttl = 0;
     std::string peer_address;
@@ -112,7 +113,7 @@
     if (abandoned.empty()) {
         return;
     }
-    // One in a cycle, and only in the version that was seen: a VM that renews it in the meantime keeps it.
+    // At most one per cycle, and conditional on the version seen: a lease renewed in the meantime stays.
     const auto& oldest = abandoned.front();
     store_.write_object(
         {lease_kind, oldest.vm, "", oldest.version, true}, [](const objects::write_outcome&) {},
--- a/src/keeper/lease_renewer.hpp
+++ b/src/keeper/lease_renewer.hpp
@@ -20,9 +20,10 @@
     lease_renewer(keeper_state& state, objects::object_client& store, wire::event_loop& loop);
 
     void start() { tick(); }
-    /// Runs with the peer addresses that the leases name, after each list.
+    /// Runs after each listing, with the peer addresses in the leases.
     void on_peers(std::function<void(std::vector<std::string>)> handler) { on_peers_ = std::move(handler); }
     fleet::held_lease held(time_point now) const;
+    /// Empty if this VM holds no valid lease and so cannot decide.
     std::string owner_of(const std::string& key, time_point now) const;
 
 private:
--- a/src/keeper/local_service.cpp
+++ b/src/keeper/local_service.cpp
@@ -14,7 +14,7 @@
                            v1::FollowReply* reply, google::protobuf::Closure* done)
 {
     state_.update_process(node::from_message(request->self()), steady::now());
-    // A revision counts for one life of the keeper; another life's number would hide what has changed since.
+    // Revisions are local to a keeper process; one from an earlier process would hide later changes.
     const bool same_incarnation = request->keeper_incarnation() == state_.incarnation();
     const pending_follow follower{same_incarnation ? request->since_revision() : 0,
                                   same_incarnation ? request->members_generation() : 0, reply, done};
@@ -42,7 +42,7 @@
     const auto seen = state_.view();
     follower.reply->set_members_generation(seen.generation);
     follower.reply->set_isolated(seen.isolated);
-    // Hundreds of members twice a second would cost a program more than all its other control work.
+    // Hundreds of members twice per second would cost a program more than all its other control work.
     if (seen.generation == follower.members_generation) {
         follower.reply->set_members_unchanged(true);
     }
--- a/src/keeper/main.cpp
+++ b/src/keeper/main.cpp
@@ -1,4 +1,4 @@
-/// vg-keeper: one per VM. Membership, the configuration, and all traffic with the Object API.
+/// vg-keeper runs once per VM: membership, the configuration, and all calls to the Object API.
 
 #include "keeper/config_feed.hpp"
 #include "keeper/gossip.hpp"
@@ -101,7 +101,7 @@
     node::print_ready("vg-keeper",
                       {{"peer_address", value(peer_address)}, {"operator_address", value(operator_address)}});
     node::wait_for_stop();
-    // The loop drops what has not started when it stops, and peers would then take the departure for a death.
+    // A stopping loop drops pending work. Without the announcement, peers would treat the stop as a failure.
     std::promise<void> leave_sent;
     loop.post([&] {
         gossip.leave();
--- a/src/keeper/operator_watch.cpp
+++ b/src/keeper/operator_watch.cpp
@@ -9,7 +9,8 @@
 namespace {
 
 constexpr milliseconds max_watch_time{30000};
-/// A stopped loop would expire no watcher, and a burst of them must not keep answers in memory for ever.
+/// Bounds the memory of pending requests, which a stopped loop would not expire; further requests are
+/// answered at once.
 constexpr std::size_t max_watches = 256;
 
 bool matches(const std::string& kind, const config::object& item)
@@ -36,7 +37,7 @@
 void operator_watch::wait(const v1::WatchRequest& request, v1::WatchReply* reply,
                           google::protobuf::Closure* done)
 {
-    // A revision counts for one life of the keeper. A number beyond the present one is from another life, and
+    // Revisions are local to a keeper process. One beyond the current revision is from another process, and
     // waiting for it would hide every change until it is reached.
     const bool other_incarnation = request.since_revision() > state_.config_revision();
     const pending_watch watcher{request.kind(), other_incarnation ? 0 : request.since_revision(), reply,
@@ -45,7 +46,7 @@
     std::uint64_t id = 0;
     {
         const std::lock_guard lock(mutex_);
-        // Looked at under the lock that `notify` takes: a change in between would be missed until the next.
+        // Checked under the lock of `notify`: a change in between would stay unnoticed until the next one.
         if (!stopped_ && wait_time.count() > 0 && pending_.size() < max_watches && !has_changes(watcher)) {
             id = ++next_id_;
             pending_[id] = watcher;
@@ -67,7 +68,7 @@
 
 void operator_watch::answer(const pending_watch& watcher) const
 {
-    // The revision first: a change after it comes again with the next watch, and none is lost.
+    // Read the revision first: a change in between is delivered again by the next watch instead of lost.
     watcher.reply->set_revision(state_.config_revision());
     for (const auto& item : state_.config_changes_since(watcher.since)) {
         if (matches(watcher.kind, item)) {
--- a/src/keeper/operator_watch.hpp
+++ b/src/keeper/operator_watch.hpp
@@ -1,4 +1,4 @@
-/// Operators' watches: each waits for the next change of its kind.
+/// Operators' watch requests: each waits for the next change of its kind.
 #ifndef VANILLAGAUGE_KEEPER_OPERATOR_WATCH_HPP
 #define VANILLAGAUGE_KEEPER_OPERATOR_WATCH_HPP
 
@@ -14,16 +14,16 @@
 
 v1::Object to_operator_object(const config::object& item);
 
-/// Safe for several threads. The state and the loop must outlive it.
+/// Thread-safe. The state and the loop must outlive it.
 class operator_watch {
 public:
     operator_watch(const keeper_state& state, wire::event_loop& loop) : state_(state), loop_(loop) {}
 
-    /// Answers once there is a change after the asked revision, or the asked time is over.
+    /// Replies once there is a change after the requested revision, or after the requested time.
     void wait(const v1::WatchRequest& request, v1::WatchReply* reply, google::protobuf::Closure* done);
-    /// Answers those whose change has come.
+    /// Replies to the requests that a change matches.
     void notify();
-    /// Answers all, and all that come later at once: the process is to stop.
+    /// Replies to all requests, and from now on to later ones at once, as the process stops.
     void stop();
 
 private:
--- a/src/keeper/services.hpp
+++ b/src/keeper/services.hpp
@@ -1,4 +1,4 @@
-/// The keeper's services: for the programs of its VM, for other keepers, and for operators.
+/// The keeper's RPC services for the programs of its VM, for other keepers, and for operators.
 #ifndef VANILLAGAUGE_KEEPER_SERVICES_HPP
 #define VANILLAGAUGE_KEEPER_SERVICES_HPP
 
@@ -47,7 +47,7 @@
     void Load(google::protobuf::RpcController* control, const v1::LoadRequest* request, v1::LoadReply* reply,
               google::protobuf::Closure* done) override;
 
-    /// Answers every follower that waits.
+    /// Replies to every pending follower.
     void notify();
 
 private:
--- a/src/keeper/snapshot.cpp
+++ b/src/keeper/snapshot.cpp
@@ -14,7 +14,7 @@
 namespace vanillagauge::keeper {
 namespace {
 
-/// The first line: the format, the body's digest and its size.
+/// The header line holds the format, the body's digest and its size.
 constexpr const char* format = "vanillagauge-snapshot-1";
 constexpr mode_t owner_only = 0600;
 
@@ -25,7 +25,7 @@
 
 error incomplete(const std::string& found)
 {
-    return {error_code::incomplete, run_state::not_run, "expected a whole snapshot, found " + found};
+    return {error_code::incomplete, run_state::not_run, "expected a complete snapshot, found " + found};
 }
 
 class open_file {
@@ -76,13 +76,13 @@
     return std::string(format) + " " + digest(body) + " " + std::to_string(body.size()) + "\n" + body;
 }
 
-// A disk may hold half of what was written, or blocks of an older file. Both change size or digest, and the
-// keeper then starts as one without a disk.
+// After a crash the file may be truncated or hold blocks of an older one. Size or digest then differ, and the
+// keeper starts without a snapshot.
 result<snapshot> decode(const std::string& bytes)
 {
     const auto line_end = bytes.find('\n');
     if (line_end == std::string::npos) {
-        return incomplete("no first line");
+        return incomplete("no header line");
     }
     std::istringstream line(bytes.substr(0, line_end));
     std::string found_format;
@@ -98,7 +98,7 @@
     }
     v1::KeeperSnapshot message;
     if (!message.ParseFromString(body)) {
-        return incomplete("a body that cannot be read");
+        return incomplete("a body that cannot be parsed");
     }
     snapshot content;
     for (const auto& entry : message.entries()) {
@@ -116,7 +116,7 @@
     const auto temp_path = path + ".draft";
     {
         const open_file file(temp_path, O_WRONLY | O_CREAT | O_TRUNC);
-        // Synced before the rename: otherwise a crash may leave the new name with none of the new bytes.
+        // Sync before the rename: otherwise a crash may leave the renamed file without its content.
         if (!file.good() || !file.write(encode(content)) || !file.sync()) {
             return failed("cannot write", temp_path);
         }
@@ -135,7 +135,7 @@
 {
     std::ifstream file(path, std::ios::binary);
     if (!file) {
-        return error{error_code::not_found, run_state::not_run, "no snapshot " + path};
+        return error{error_code::not_found, run_state::not_run, "no snapshot at " + path};
     }
     std::ostringstream bytes;
     bytes << file.rdbuf();
--- a/src/keeper/snapshot_updater.cpp
+++ b/src/keeper/snapshot_updater.cpp
@@ -26,7 +26,7 @@
         observe::log(observe::log_level::warning, "snapshot_not_used", {{"detail", failure(found).detail}});
         return {};
     }
-    // Taken like a peer's word: whatever a peer or the store holds in a higher version replaces it.
+    // Merged like a peer's objects: higher versions from a peer or the store replace them.
     state_.merge_config(value(found).objects);
     return value(found).peer_addresses;
 }
