--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -1,4 +1,4 @@
-/// Settings of the programs, specs of the operators' objects, and the replica of the configuration.
+/// Settings of the programs, specs of configuration objects, and the configuration replica.
 #ifndef VANILLAGAUGE_CONFIG_CONFIG_HPP
 #define VANILLAGAUGE_CONFIG_CONFIG_HPP
 
--- a/src/config/internal/mismatch.cpp
+++ b/src/config/internal/mismatch.cpp
@@ -105,7 +105,7 @@
     return text;
 }
 
-/// The problem of an object's keys; empty where the keys are right.
+/// Describes a missing or unknown key of an object; empty if there is none.
 std::string key_problem(const json& rules, const json& found)
 {
     for (const auto& key : rules.value("required", json::array())) {
--- a/src/config/internal/schema_check.cpp
+++ b/src/config/internal/schema_check.cpp
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-/// `<root>[keeper][seeds]` as a pointer to /keeper/seeds.
+/// Converts valijson's context, such as `<root>[keeper][seeds]`, to the JSON pointer /keeper/seeds.
 json::json_pointer to_pointer(const std::vector<std::string>& context)
 {
     json::json_pointer pointer;
@@ -26,7 +26,7 @@
     return pointer;
 }
 
-/// Outer values are wrong only because an inner one is, so the deepest place is the one to name.
+/// Enclosing values are reported only because an inner one is invalid, so the deepest path is the cause.
 json::json_pointer deepest_path(valijson::ValidationResults& problems)
 {
     std::vector<std::string> deepest;
--- a/src/config/internal/schema_check.hpp
+++ b/src/config/internal/schema_check.hpp
@@ -1,4 +1,4 @@
-/// JSON text checked against a JSON schema, by valijson.
+/// Validates JSON text against a JSON schema, with valijson.
 #ifndef VANILLAGAUGE_CONFIG_INTERNAL_SCHEMA_CHECK_HPP
 #define VANILLAGAUGE_CONFIG_INTERNAL_SCHEMA_CHECK_HPP
 
@@ -10,8 +10,8 @@
 
 namespace vanillagauge::config::internal {
 
-/// The parsed text; otherwise `invalid_argument` naming `origin`, the path in it, and what the schema
-/// expected.
+/// Parses and validates the text. `invalid_argument` names `origin`, the JSON path, and what the schema
+/// expects.
 result<nlohmann::json> parse_checked(const std::string& text, const char* schema, const std::string& origin);
 
 } // namespace vanillagauge::config::internal
--- a/src/config/pull_planner.cpp
+++ b/src/config/pull_planner.cpp
@@ -9,9 +9,8 @@
     return !busy && (!last || now - *last >= interval);
 }
 
-// Hundreds of peers notice one change at the same time. Each asks one peer for what is newer, once; without
-// the pause a node would ask every peer that it hears of the change from and receive the same objects many
-// times.
+// Hundreds of peers announce the same change at once. Without the minimum interval a node would pull from
+// each of them and receive the same objects many times.
 std::optional<pull_kind> pull_planner::on_mark(const replica_mark& own, const replica_mark& theirs,
                                                time_point now)
 {
@@ -19,7 +18,7 @@
         unresolved_pulls_ = 0;
         return std::nullopt;
     }
-    // The one that is behind in the newest version asks first.
+    // The replica with the lower newest version pulls first.
     if (theirs.newest_version < own.newest_version) {
         return std::nullopt;
     }
@@ -35,8 +34,8 @@
         tried_peer_digest_ = theirs.digest;
         return pull_kind::recent;
     }
-    // The recent changes did not settle it: something older is missing on one side, which only a comparison
-    // of all versions finds.
+    // Recent changes did not resolve the difference: an older object is missing on one side, which only a
+    // comparison of all versions finds.
     if (!may_start(last_complete_, timing_.complete_interval, now)) {
         return std::nullopt;
     }
--- a/src/config/replica.cpp
+++ b/src/config/replica.cpp
@@ -14,8 +14,8 @@
 
 } // namespace
 
-// XOR: counting an object twice takes it out again. Tombstones do not count, so that replicas which dropped
-// different ones still agree.
+// XOR adds an object, and removes it when applied again. Tombstones are excluded, so that replicas which
+// dropped different ones still agree.
 void replica::toggle_in_digest(const object& item)
 {
     if (item.version != 0 && !item.deleted) {
@@ -27,13 +27,13 @@
 {
     const key id{incoming.kind, incoming.name};
     const auto found = objects_.find(id);
-    // Late watch events, stale peers and peers from before a partition all bring lower versions. Taking one
-    // would bring back a configuration that an operator has replaced.
+    // Late watch events and stale or formerly partitioned peers deliver lower versions. Storing one would
+    // restore a configuration that an operator has replaced.
     if (found != objects_.end() && incoming.version <= found->second.current.version) {
         return false;
     }
-    // An unknown object that is older than a dropped tombstone may be the very one that was deleted, brought
-    // by a peer that was away. Only the store itself can say that it still exists.
+    // An unknown object that is not newer than a dropped tombstone may be the deleted one, from a peer that
+    // was disconnected. Only the store can confirm that it exists.
     if (found == objects_.end() && source == object_source::peer &&
         incoming.version <= max_dropped_version_) {
         return false;
@@ -62,8 +62,8 @@
     }
 }
 
-// A listing shows no deletions. Whoever lists after a compacted watch would keep a deleted object for ever;
-// the listing's revision is higher than the deletion's and lower than that of any later creation.
+// A listing contains no deletions, so a list after a compacted watch would keep deleted objects forever. The
+// listing's revision is higher than the deletion's and lower than that of any later creation.
 bool replica::merge_listing(const std::string& kind, const std::vector<object>& listed,
                             std::uint64_t revision)
 {
--- a/src/config/replica.hpp
+++ b/src/config/replica.hpp
@@ -1,4 +1,4 @@
-/// A replica of the configuration that only moves forward: the highest version of each object wins.
+/// A configuration replica with monotonic versions: the highest version of each object wins.
 #ifndef VANILLAGAUGE_CONFIG_REPLICA_HPP
 #define VANILLAGAUGE_CONFIG_REPLICA_HPP
 
@@ -15,19 +15,19 @@
 struct object {
     std::string kind;
     std::string name;
-    std::uint64_t version = 0; ///< the store's; higher is newer
+    std::uint64_t version = 0; ///< assigned by the store; higher is newer
     std::string spec_json;
-    bool deleted = false; ///< kept as a tombstone, so that an older peer cannot bring the object back
+    bool deleted = false; ///< kept as a tombstone, so that a stale peer cannot restore the object
 };
 
-/// What a replica holds of one object, without its content.
+/// Identifies a version of an object, without its content.
 struct object_version {
     std::string kind;
     std::string name;
     std::uint64_t version = 0;
 };
 
-/// Where an object came from: what the store says itself is always complete.
+/// The source of an object. The store is authoritative about which objects exist.
 enum class object_source { peer, store };
 
 class replica {
@@ -35,29 +35,30 @@
     /// Tombstones beyond this number are dropped, the oldest first.
     static constexpr std::size_t max_tombstones = 2048;
 
-    /// Takes the object if it is newer than what is held; true where it was taken.
+    /// Stores the object if its version is newer; returns whether it was stored.
     bool merge(object incoming, object_source source = object_source::peer);
 
-    /// Takes all objects of one kind as the store listed them at `revision`; what is missing was deleted.
+    /// Merges the store's listing of one kind at `revision`; objects missing from it were deleted.
+    /// Returns whether anything changed.
     bool merge_listing(const std::string& kind, const std::vector<object>& listed, std::uint64_t revision);
 
-    /// Absent where the object is unknown or deleted.
+    /// Empty if the object is unknown or deleted.
     std::optional<object> find(const std::string& kind, const std::string& name) const;
     std::vector<object> list(const std::string& kind) const;
-    /// Everything taken after this local revision, tombstones too.
+    /// Objects stored after this local revision, including tombstones.
     std::vector<object> changes_since(std::uint64_t revision) const;
 
-    /// Everything of which `known` names no version as high.
+    /// Objects that are newer than in `known` or missing there, including tombstones.
     std::vector<object> newer_than(const std::vector<object_version>& known) const;
     std::vector<object_version> versions() const;
-    /// 0 where the object is unknown; a tombstone has a version.
+    /// 0 if the object is unknown; a tombstone has a version.
     std::uint64_t version_of(const std::string& kind, const std::string& name) const;
 
-    /// Grows by one with each object taken. It counts for this replica alone.
+    /// Incremented with each stored object; local to this replica.
     std::uint64_t revision() const { return revision_; }
-    /// The highest version held.
+    /// The highest version stored.
     std::uint64_t newest_version() const { return newest_version_; }
-    /// Equal on replicas that hold the same versions of the same living objects.
+    /// Equal on replicas that hold the same versions of the same objects, not counting deleted ones.
     std::uint64_t digest() const { return digest_; }
 
 private:
@@ -71,7 +72,7 @@
     std::uint64_t newest_version_ = 0;
     std::uint64_t digest_ = 0;
     std::set<std::pair<std::uint64_t, key>> tombstones_;
-    std::uint64_t max_dropped_version_ = 0; ///< the highest version of a tombstone that was dropped
+    std::uint64_t max_dropped_version_ = 0; ///< the highest version of a dropped tombstone
 
     void toggle_in_digest(const object& item);
     void drop_tombstones();
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,4 +1,4 @@
-/// The settings file of one VM, shared by its programs.
+/// The settings file of a VM, shared by its programs.
 #ifndef VANILLAGAUGE_CONFIG_SETTINGS_HPP
 #define VANILLAGAUGE_CONFIG_SETTINGS_HPP
 
@@ -28,33 +28,33 @@
     std::string peer_listen = "127.0.0.1:0";
 };
 
-/// What vg-gateway listens on, and the bounds that the operator of the machines promised or asks for.
+/// Listen addresses of vg-gateway, and time limits set by the operator.
 struct gateway_settings {
-    std::string front_listen;       ///< callers; empty: this VM serves none
-    std::string ready_listen;       ///< the platform's own checks; empty: none
-    std::string directory_listen;   ///< callers that ask where to connect; empty: none
-    std::string relay_listen;       ///< other gateways; empty: vg-gateway cannot run here
-    std::string metrics_listen;     ///< empty: no metrics page
-    std::string model_order_holder; ///< the name under which weights are ordered; empty: the VM's
+    std::string front_listen;       ///< for callers; empty: this VM serves none
+    std::string ready_listen;       ///< for the platform's readiness checks; empty: none
+    std::string directory_listen;   ///< for callers that look up addresses; empty: none
+    std::string relay_listen;       ///< for other gateways; empty: vg-gateway cannot run here
+    std::string metrics_listen;     ///< for metrics; empty: none
+    std::string model_order_holder; ///< holder name for orders to load weights; empty: the VM's name
     milliseconds stop_grace{8000};  ///< from SIGTERM to SIGKILL
-    milliseconds order_lease{3000}; ///< orders of two holders must lie this far apart
-    milliseconds advice_time{2000}; ///< how long callers may keep an address
+    milliseconds order_lease{3000}; ///< minimum time between orders of two holders
+    milliseconds advice_time{2000}; ///< how long callers may cache an address
 };
 
-/// How vg-entry decides under load: `plain` (targets in turn, no limits, unlimited retries) is the baseline
-/// of measurements and no mode to serve in.
+/// How vg-entry balances load. `plain` (round robin, no limits, unlimited retries) is a baseline for
+/// measurements and not meant for production.
 enum class entry_policy { adaptive, plain };
 
 struct settings {
-    std::string file; ///< that they were read from
+    std::string file; ///< path of the settings file
     std::string vm;
     std::string failure_domain;
-    std::string data_folder; ///< empty: this VM keeps nothing
+    std::string data_folder; ///< empty: this VM stores nothing on disk
     std::string log_level = "info";
-    std::string span_file;   ///< empty: spans are off
-    std::string record_file; ///< where vg-rollout records what its decisions are fed with; empty: nowhere
+    std::string span_file;   ///< empty: no spans are written
+    std::string record_file; ///< where vg-rollout records the inputs of its decisions; empty: off
     int http_threads = 8;
-    milliseconds drain_time{6000}; ///< how long a stopping entry serves after it left the address advice
+    milliseconds drain_time{6000}; ///< how long a stopping entry serves after leaving the address advice
     std::string platform;          ///< address of the platform's APIs
     token_settings tokens;
     keeper_settings keeper;
@@ -64,10 +64,10 @@
     gateway_settings gateway;
 };
 
-/// Reads and checks a settings file. An error names the file, the path in it, what was expected and what was
-/// found.
+/// Reads and validates a settings file. An error names the file, the JSON path, and the expected and actual
+/// values.
 result<settings> load_settings(const std::string& path);
-/// The same for text; `origin` stands for the file's name in errors.
+/// As `load_settings`, from text; `origin` replaces the file name in errors.
 result<settings> parse_settings(const std::string& text, const std::string& origin);
 
 } // namespace vanillagauge::config
--- a/src/config/specs.cpp
+++ b/src/config/specs.cpp
@@ -53,7 +53,7 @@
   }
 })json";
 
-/// A drain object names a VM that is to stop; deleting it takes the VM back.
+/// A drain object names a VM to drain; deleting the object ends the drain.
 constexpr const char* drain_schema = R"json({"type": "object", "additionalProperties": false})json";
 
 std::string origin_of(const std::string& kind, const std::string& name)
