--- a/tests/config/pull_planner_tests.cpp
+++ b/tests/config/pull_planner_tests.cpp
@@ -7,13 +7,13 @@
 
 const time_point start{};
 
-TEST(pull_planner, asks_nothing_of_a_peer_that_holds_the_same)
+TEST(pull_planner, no_pull_for_equal_digests)
 {
     pull_planner planner;
     EXPECT_FALSE(planner.on_mark({5, 10}, {5, 10}, start));
 }
 
-TEST(pull_planner, asks_once_for_a_change_that_many_peers_tell_of)
+TEST(pull_planner, one_pull_for_many_announcements)
 {
     pull_planner planner;
     EXPECT_EQ(planner.on_mark({5, 10}, {6, 11}, start), pull_kind::recent);
@@ -22,8 +22,8 @@
     }
 }
 
-// The asked peer dies with the pull under way. The change must still come, from the next peer.
-TEST(pull_planner, asks_another_peer_where_a_pull_is_not_answered)
+// The peer stops during the pull. The change must then be pulled from another peer.
+TEST(pull_planner, retries_after_the_pull_timeout)
 {
     pull_planner planner;
     planner.on_mark({5, 10}, {6, 11}, start);
@@ -31,16 +31,15 @@
     EXPECT_EQ(planner.on_mark({5, 10}, {7, 12}, start + milliseconds{2000}), pull_kind::recent);
 }
 
-TEST(pull_planner, lets_the_peer_that_is_behind_ask)
+TEST(pull_planner, no_pull_from_an_older_peer)
 {
     pull_planner planner;
     EXPECT_FALSE(planner.on_mark({6, 11}, {5, 10}, start));
 }
 
-// Two changes accepted on two VMs at once cross: both hold the same newest version, one lacks the other
-// change. Recent changes come first; where they do not settle it everything is compared, and at last the
-// store decides.
-TEST(pull_planner, compares_all_and_at_last_lists_the_store_where_recent_changes_do_not_settle_it)
+// Equal newest versions with different digests: an older change is missing on one side. If recent changes do
+// not resolve it, all versions are compared, and finally the store is listed.
+TEST(pull_planner, escalates_to_complete_pulls_and_the_store)
 {
     pull_planner planner;
     auto now = start;
--- a/tests/config/replica_tests.cpp
+++ b/tests/config/replica_tests.cpp
@@ -9,10 +9,9 @@
 namespace vanillagauge::config {
 namespace {
 
-// An operator replaces a configuration. A peer that was cut off then returns, or a watch event arrives late,
-// with the old version; the operator would see the change undone. The replica takes only higher versions, so
-// it cannot.
-TEST(replica, never_goes_back_to_an_older_version)
+// A formerly partitioned peer or a late watch event delivers an old version, which must not undo an
+// operator's change.
+TEST(replica, ignores_older_versions)
 {
     replica held;
     EXPECT_TRUE(held.merge({"job", "a", 5, "new", false}));
@@ -20,7 +19,7 @@
     EXPECT_EQ(held.find("job", "a")->spec_json, "new");
 }
 
-TEST(replica, keeps_a_deleted_object_deleted)
+TEST(replica, tombstone_blocks_a_stale_copy)
 {
     replica held;
     held.merge({"job", "a", 5, "x", false});
@@ -29,7 +28,7 @@
     EXPECT_FALSE(held.find("job", "a"));
 }
 
-TEST(replica, has_the_same_digest_whatever_the_order)
+TEST(replica, digest_is_independent_of_order)
 {
     replica one;
     one.merge({"job", "a", 1, "", false});
@@ -41,7 +40,7 @@
     EXPECT_EQ(one.digest(), other.digest());
 }
 
-TEST(replica, lists_what_changed_after_a_revision)
+TEST(replica, changes_since_returns_later_changes)
 {
     replica held;
     held.merge({"job", "a", 1, "", false});
@@ -51,9 +50,9 @@
     EXPECT_EQ(held.changes_since(revision).front().name, "b");
 }
 
-// A watch is compacted while an object is deleted. The listing that follows does not show the deletion;
-// without care the deleted object would stay in force on this node for ever.
-TEST(replica, takes_what_a_listing_lacks_for_deleted_and_a_later_creation_for_new)
+// The deletion was compacted out of the watch, and the following listing does not contain it; the deleted
+// object must not stay on this node.
+TEST(replica, listing_deletes_missing_objects_until_recreated)
 {
     replica held;
     held.merge({"job", "a", 5, "x", false});
@@ -68,8 +67,8 @@
     EXPECT_EQ(held.find("job", "b")->spec_json, "y");
 }
 
-// A listing was asked for before an object was created and arrives after the object came from a peer.
-TEST(replica, a_late_listing_does_not_delete_what_is_newer_than_it)
+// A listing requested before an object was created arrives after the object came from a peer.
+TEST(replica, late_listing_keeps_newer_objects)
 {
     replica held;
     held.merge({"job", "a", 8, "x", false});
@@ -77,9 +76,9 @@
     EXPECT_TRUE(held.find("job", "a"));
 }
 
-// Tombstones would grow for ever. Once the oldest are dropped, a peer that was away for long brings a deleted
-// object again; only the store may say that such an old object exists.
-TEST(replica, bounds_its_tombstones_and_yet_lets_no_stale_peer_bring_a_deleted_object_back)
+// Tombstones are bounded. Once one is dropped, a long-disconnected peer may deliver the deleted object again;
+// only the store may restore such an old object.
+TEST(replica, dropped_tombstones_still_block_stale_peers)
 {
     replica held;
     held.merge({"job", "victim", 1, "x", false});
@@ -95,9 +94,8 @@
     EXPECT_TRUE(held.merge({"job", "old", 1, "x", false}, object_source::store));
 }
 
-// The order in which a node hears of changes is arbitrary: a restart in an outage, a stale peer, a late
-// event, a peer from before a partition. Whatever it is, no object's version may ever go down.
-TEST(replica, versions_never_go_down_whatever_arrives_in_whatever_order)
+// Changes arrive in any order, from stale peers and late events; no object's version may decrease.
+TEST(replica, versions_are_monotonic_in_any_order)
 {
     std::mt19937_64 random{11};
     replica held;
--- a/tests/config/settings_tests.cpp
+++ b/tests/config/settings_tests.cpp
@@ -17,14 +17,14 @@
     return text.replace(text.find(from), from.size(), to);
 }
 
-TEST(settings, take_defaults_for_what_is_left_out)
+TEST(settings, missing_keys_take_defaults)
 {
     const auto parsed = parse_settings(valid, "vm.json");
     ASSERT_TRUE(ok(parsed)) << failure(parsed).detail;
     EXPECT_EQ(value(parsed).entry.http_listen, "127.0.0.1:0");
 }
 
-TEST(settings, name_the_file_the_path_and_what_was_found)
+TEST(settings, error_names_file_path_and_value)
 {
     const auto parsed = parse_settings(replaced(valid, "127.0.0.1:7101", "nowhere"), "vm.json");
     ASSERT_FALSE(ok(parsed));
@@ -34,7 +34,7 @@
     EXPECT_NE(detail.find("nowhere"), std::string::npos) << detail;
 }
 
-TEST(settings, refuse_an_unknown_key)
+TEST(settings, rejects_unknown_keys)
 {
     EXPECT_FALSE(ok(parse_settings(replaced(valid, "\"vm\":", "\"vmm\": 1, \"vm\":"), "vm.json")));
 }
@@ -48,7 +48,7 @@
 
 class settings_message : public testing::TestWithParam<invalid_settings> {};
 
-TEST_P(settings_message, names_the_place_what_was_expected_and_what_was_found)
+TEST_P(settings_message, names_path_expected_and_found)
 {
     const auto& wrong = GetParam();
     const auto parsed = parse_settings(replaced(valid, wrong.from, wrong.to), "vm.json");
@@ -83,7 +83,7 @@
                          R"(at /vm: expected a string of at least 1 characters, found {"name":"vm-1"})"}),
     [](const testing::TestParamInfo<invalid_settings>& each) { return std::string(each.param.name); });
 
-/// Alternatives are told as alternatives, wherever the schema has them.
+/// The message lists every alternative that the schema allows.
 TEST(schema_message, lists_the_alternatives)
 {
     constexpr const char* schema = R"({"type": "object", "properties": {"wait": {
@@ -96,7 +96,7 @@
 
 class example_settings : public testing::TestWithParam<const char*> {};
 
-TEST_P(example_settings, pass_their_check)
+TEST_P(example_settings, are_valid)
 {
     const auto loaded = load_settings(std::string(VANILLAGAUGE_EXAMPLES "/") + GetParam() + "/vm.json");
     EXPECT_TRUE(ok(loaded)) << failure(loaded).detail;
@@ -104,13 +104,13 @@
 
 INSTANTIATE_TEST_SUITE_P(both, example_settings, testing::Values("aphrodisia", "casco-limpo"));
 
-TEST(settings, refuse_text_that_is_not_json)
+TEST(settings, rejects_text_that_is_not_json)
 {
     EXPECT_FALSE(ok(parse_settings("{", "vm.json")));
     EXPECT_FALSE(ok(parse_settings("", "vm.json")));
 }
 
-TEST(deployment, refuses_two_targets_with_one_id)
+TEST(deployment, rejects_duplicate_target_ids)
 {
     const std::string target = R"({"id": "a", "address": "127.0.0.1:1", "failure_domain": "x"})";
     const auto parsed =
@@ -119,7 +119,7 @@
     EXPECT_EQ(failure(parsed).code, error_code::invalid_argument);
 }
 
-TEST(object_check, refuses_an_unknown_kind)
+TEST(object_check, rejects_unknown_kinds)
 {
     EXPECT_FALSE(ok(check_object("thing", "a", "{}")));
 }
--- a/tests/keeper/operator_watch_tests.cpp
+++ b/tests/keeper/operator_watch_tests.cpp
@@ -8,7 +8,7 @@
 namespace vanillagauge::keeper {
 namespace {
 
-/// One watch and its answer.
+/// A watch request and its reply.
 struct watcher {
     v1::WatchReply reply;
     std::promise<void> answered;
@@ -46,7 +46,7 @@
 
 constexpr milliseconds long_wait{20000};
 
-TEST_F(operator_watch_test, is_answered_by_a_change_of_its_kind_alone)
+TEST_F(operator_watch_test, ignores_changes_of_other_kinds)
 {
     watcher jobs;
     watches.wait(request("job", state.config_revision(), long_wait), &jobs.reply, jobs.done());
@@ -59,7 +59,7 @@
     EXPECT_EQ(jobs.reply.revision(), state.config_revision());
 }
 
-TEST_F(operator_watch_test, is_answered_at_once_by_a_change_that_came_before_it)
+TEST_F(operator_watch_test, replies_at_once_to_an_earlier_change)
 {
     change("job", 1);
     watcher late;
@@ -68,7 +68,7 @@
     EXPECT_EQ(late.reply.objects_size(), 1);
 }
 
-TEST_F(operator_watch_test, is_answered_empty_when_its_time_is_over)
+TEST_F(operator_watch_test, replies_empty_after_the_wait_time)
 {
     watcher idle;
     watches.wait(request("", 0, milliseconds{10}), &idle.reply, idle.done());
@@ -76,9 +76,9 @@
     EXPECT_EQ(idle.reply.objects_size(), 0);
 }
 
-/// The keeper was replaced: an operator's revision is from its former life and beyond the new one's. Waiting
-/// for that number would hide every change until it is reached, so all that is held is told again.
-TEST_F(operator_watch_test, from_an_earlier_life_of_the_keeper_is_told_everything)
+/// After a keeper restart, an operator's revision may be beyond the current one. Waiting for it would hide
+/// every change until it is reached.
+TEST_F(operator_watch_test, revision_of_another_process_returns_all_objects)
 {
     change("job", 1);
     watcher other;
@@ -87,7 +87,7 @@
     EXPECT_EQ(other.reply.objects_size(), 1);
 }
 
-TEST_F(operator_watch_test, holds_no_stop)
+TEST_F(operator_watch_test, stop_answers_pending_and_later_requests)
 {
     watcher before;
     watches.wait(request("", 0, long_wait), &before.reply, before.done());
--- a/tests/keeper/snapshot_tests.cpp
+++ b/tests/keeper/snapshot_tests.cpp
@@ -24,7 +24,7 @@
     return {{{"job", "a", 5, "{\"x\":1}", false}, {"job", "b", 6, "{}", true}}, {"127.0.0.1:7000"}};
 }
 
-TEST_F(snapshot_file, is_read_back_as_it_was_written_also_after_a_replacement)
+TEST_F(snapshot_file, replaced_file_reads_back_unchanged)
 {
     ASSERT_TRUE(ok(write_snapshot(path, {})));
     ASSERT_TRUE(ok(write_snapshot(path, example())));
@@ -36,23 +36,21 @@
     EXPECT_EQ(value(found).peer_addresses, example().peer_addresses);
 }
 
-TEST_F(snapshot_file, is_not_found_on_a_new_disk)
+TEST_F(snapshot_file, missing_file_is_not_found)
 {
     EXPECT_EQ(failure(read_snapshot(path)).code, error_code::not_found);
 }
 
-// The VM loses power while a snapshot is written. At the next start the draft is half there; the file under
-// its name must still be the former one.
-TEST_F(snapshot_file, a_half_written_draft_leaves_the_former_snapshot_in_place)
+// Power loss during a write leaves a partial temporary file; the previous snapshot must stay readable.
+TEST_F(snapshot_file, partial_temp_file_keeps_the_old_snapshot)
 {
     ASSERT_TRUE(ok(write_snapshot(path, example())));
     std::ofstream(path + ".draft") << encode(example()).substr(0, 20);
     EXPECT_TRUE(ok(read_snapshot(path)));
 }
 
-// A disk returns fewer bytes, or other bytes, than were written. Taking part of them would bring a
-// configuration into force that nobody accepted.
-TEST(snapshot, is_refused_wherever_it_is_torn_and_whatever_byte_is_changed)
+// Loading part of a damaged snapshot would apply a configuration that nobody accepted.
+TEST(snapshot, rejects_truncated_or_changed_bytes)
 {
     const auto whole = encode(example());
     ASSERT_TRUE(ok(decode(whole)));
@@ -66,7 +64,7 @@
     }
 }
 
-// A VM restarts in an outage with a snapshot from before the last change, which its peers hold already.
+// A VM restarts with a snapshot older than the last change, which its peers already hold.
 TEST(snapshot, an_old_one_is_never_trusted_over_a_higher_version)
 {
     fleet::node self;
