--- a/src/keeper/explain.cpp
+++ b/src/keeper/explain.cpp
@@ -7,13 +7,13 @@
 
 using lines = std::vector<std::string>;
 
-std::string described(fleet::member_state state)
+std::string describe_state(fleet::member_state state)
 {
     switch (state) {
     case fleet::member_state::alive:
         return "alive";
     case fleet::member_state::suspect:
-        return "suspect: its heartbeats are late, it gets no new work";
+        return "suspect: its heartbeats are late, it receives no new work";
     default:
         break;
     }
@@ -32,12 +32,13 @@
     const auto members = state.members();
     const auto* member = find_member(members, vm);
     if (member == nullptr) {
-        into.push_back("vm " + vm + " is not known here");
+        into.push_back("vm " + vm + " is not a member known to this keeper");
         return;
     }
-    into.push_back("vm " + vm + " in " + member->info.failure_domain + " is " + described(member->state));
+    into.push_back("vm " + vm + " in " + member->info.failure_domain + " is " +
+                   describe_state(member->state));
     if (member->info.draining) {
-        into.push_back("it is draining: address advice leaves it out and it owns no jobs");
+        into.push_back("it is draining: it is excluded from address advice and owns no jobs");
     }
     for (const auto& process : member->info.processes) {
         into.push_back("runs " + process.role + " at " + process.http_address +
@@ -47,18 +48,18 @@
 
 void add_job(const keeper_state& state, const std::string& subject, lines& into)
 {
-    std::vector<std::string> able;
+    std::vector<std::string> eligible;
     for (const auto& member : state.members()) {
         if (member.state == fleet::member_state::alive && !member.info.draining) {
-            able.push_back(member.info.vm);
+            eligible.push_back(member.info.vm);
         }
     }
-    const auto owners = fleet::ranked_owners(subject, able);
+    const auto owners = fleet::ranked_owners(subject, eligible);
     for (const auto& vm : owners) {
         into.push_back((vm == owners.front() ? "owner by rank: " : "successor: ") + vm);
     }
     if (owners.empty()) {
-        into.push_back("nobody owns it: no VM is alive and not draining");
+        into.push_back("no owner: no VM is alive and not draining");
     }
 }
 
@@ -66,7 +67,7 @@
 {
     const auto parsed = config::parse_deployment(object.name, object.spec_json);
     if (!ok(parsed)) {
-        into.push_back("its spec cannot be read here: " + failure(parsed).detail);
+        into.push_back("its spec cannot be parsed: " + failure(parsed).detail);
         return;
     }
     std::map<std::string, int> in_domain;
@@ -87,12 +88,12 @@
     int reached = 0;
     int alive = 0;
     for (const auto& member : state.members()) {
-        const bool lives = member.state == fleet::member_state::alive;
-        alive += lives ? 1 : 0;
-        reached += lives && member.info.config_version >= object.version ? 1 : 0;
+        const bool live = member.state == fleet::member_state::alive;
+        alive += live ? 1 : 0;
+        reached += live && member.info.config_version >= object.version ? 1 : 0;
     }
-    into.push_back("live VMs that hold this version or a newer change: " + std::to_string(reached) + " of " +
-                   std::to_string(alive));
+    into.push_back("live VMs whose configuration is at this version or later: " + std::to_string(reached) +
+                   " of " + std::to_string(alive));
 }
 
 } // namespace
@@ -110,8 +111,7 @@
     const auto object = state.config_find(kind, object_name);
     if (!object) {
         return error{error_code::not_found, run_state::not_run,
-                     "nothing is known of \"" + subject +
-                         "\": expected deployment/NAME, job/NAME, drain/VM or vm/VM"};
+                     "no object \"" + subject + "\": expected deployment/NAME, job/NAME, drain/VM or vm/VM"};
     }
     found.push_back(subject + " is at version " + std::to_string(object->version));
     add_spread(state, *object, found);
--- a/src/keeper/gossip.hpp
+++ b/src/keeper/gossip.hpp
@@ -2,8 +2,8 @@
 #ifndef VANILLAGAUGE_KEEPER_GOSSIP_HPP
 #define VANILLAGAUGE_KEEPER_GOSSIP_HPP
 
+#include "keeper/channel_cache.hpp"
 #include "keeper/datagram_link.hpp"
-#include "keeper/idle_channels.hpp"
 #include "keeper/keeper_state.hpp"
 
 #include "vanillagauge.pb.h"
@@ -12,8 +12,8 @@
 
 namespace vanillagauge::keeper {
 
-/// Calls between keepers that this VM made, with the bytes of questions and answers.
-struct exchange_counts {
+/// Calls that this VM made to other keepers, with the bytes of requests and replies.
+struct peer_call_counts {
     std::uint64_t calls = 0;
     std::uint64_t bytes = 0;
 };
@@ -23,42 +23,40 @@
     /// The state and the loop must outlive it.
     gossip(keeper_state& state, wire::event_loop& loop, const config::settings& settings);
 
-    // Commands.
-    /// Binds the datagrams' port on this host; returns the address.
+    /// Binds the datagram port on this host; returns the address.
     result<std::string> open(const std::string& host) { return datagrams_.open(host); }
     void start() { tick(); }
-    /// Further peers to ask while nobody is known; call before the start.
+    /// Adds peers to contact while no live peer is known; call before `start`.
     void add_seeds(const std::vector<std::string>& addresses)
     {
         seeds_.insert(seeds_.end(), addresses.begin(), addresses.end());
     }
-    /// Peers that the store names, asked like seeds. May come from any thread.
-    void learn_peers(std::vector<std::string> addresses);
-    /// Runs where peers cannot settle a difference and the store must be listed.
+    /// Sets the peers listed in the store, contacted like seeds. Safe to call from any thread.
+    void set_store_peers(std::vector<std::string> addresses);
+    /// Runs if pulls from peers do not resolve a difference, so that the store must be listed.
     void on_list_needed(std::function<void()> handler) { list_needed_ = std::move(handler); }
-    /// Tells peers that this VM leaves.
+    /// Announces to peers that this VM leaves.
     void leave();
-    /// Ends the probes and the calls to peers; on the loop's thread.
+    /// Stops the probes and cancels the calls to peers; call on the loop's thread.
     void stop();
 
-    // Queries.
     v1::ExchangeReply answer(const v1::ExchangeRequest& request);
     v1::ConfigPullReply answer(const v1::ConfigPullRequest& request) const;
     datagram_counts counts() const { return datagrams_.counts(); }
-    exchange_counts exchanges() const { return {calls_, call_bytes_}; }
+    peer_call_counts peer_calls() const { return {calls_, call_bytes_}; }
 
 private:
     keeper_state& state_;
     wire::event_loop& loop_;
-    idle_channels peers_;
+    channel_cache peers_;
     datagram_link datagrams_;
     config::pull_planner pulls_;
     std::vector<std::string> seeds_;
-    std::vector<std::string> learned_;
+    std::vector<std::string> store_peers_;
     std::string token_;
     std::function<void()> list_needed_;
-    time_point next_seed_;
-    std::size_t seed_turn_ = 0;
+    time_point next_seed_at_;
+    std::size_t seed_index_ = 0;
     bool stopped_ = false;
     std::atomic<std::uint64_t> calls_{0};
     std::atomic<std::uint64_t> call_bytes_{0};
@@ -66,15 +64,15 @@
     void tick();
     void receive(const fleet::datagram& message);
     void perform(const fleet::detector_actions& actions);
-    void ask_a_seed(time_point now);
-    bool knows_somebody() const;
+    void contact_seed(time_point now);
+    bool has_live_peer() const;
     std::string next_seed();
-    std::string next_stranger();
-    void compare(const std::string& address);
-    void hand_over(const std::string& address, const v1::ExchangeReply& reply);
+    std::string next_unknown_peer();
+    void start_exchange(const std::string& address);
+    void finish_exchange(const std::string& address, const v1::ExchangeReply& reply);
     void consider_pull(const fleet::datagram& message, time_point now);
-    void pull(const std::string& address, bool whole);
-    void count(const google::protobuf::Message& request);
+    void pull(const std::string& address, bool complete);
+    void count_call(const google::protobuf::Message& request);
     wire::call_options options() const;
 };
 
--- a/src/keeper/keeper_state.hpp
+++ b/src/keeper/keeper_state.hpp
@@ -1,4 +1,4 @@
-/// What a keeper holds: the members, the configuration, and the programs of its VM.
+/// The state of a keeper: the members, the configuration, and the programs of its VM.
 #ifndef VANILLAGAUGE_KEEPER_KEEPER_STATE_HPP
 #define VANILLAGAUGE_KEEPER_KEEPER_STATE_HPP
 
@@ -20,37 +20,35 @@
     std::string datagrams;
 };
 
-/// The members with the generation that they belong to.
+/// A copy of the members and its generation.
 struct members_view {
     std::vector<fleet::member> members;
     std::uint64_t generation = 0;
     bool isolated = false;
 };
 
-/// Safe for several threads; members and configuration are each under their own lock.
+/// Thread-safe; the members and the configuration have a lock each.
 class keeper_state {
 public:
     keeper_state(fleet::node self, time_point now);
 
-    // Commands.
-    /// Runs `handler` after every change, outside all locks.
+    /// Runs `handler` after every change, without holding a lock.
     void on_change(std::function<void()> handler) { handler_ = std::move(handler); }
-    /// Takes the bound addresses, which every statement carries; call before the first tick.
+    /// Sets the bound addresses announced to peers; call before the first tick.
     void set_addresses(const keeper_addresses& addresses);
     bool merge_config(const std::vector<config::object>& incoming,
                       config::object_source source = config::object_source::peer);
     void merge_listing(const std::string& kind, const std::vector<config::object>& listed,
                        std::uint64_t revision);
-    /// Notes that a program of this VM is there.
-    void hear(const fleet::process& program, time_point now);
+    /// Records the state that a program of this VM reports, as its heartbeat.
+    void update_process(const fleet::process& program, time_point now);
     void set_watch_failing(bool failing) { watch_failing_ = failing; }
-    /// Judges members and programs; call each 50 to 100 ms.
+    /// Checks members and programs for timeouts; call every 50 to 100 ms.
     fleet::detector_actions tick(time_point now);
     fleet::detector_actions receive(const fleet::datagram& message, time_point now);
     fleet::detector_actions leave(time_point now);
-    void merge_claims(const std::vector<fleet::member_update>& claims, time_point now);
+    void merge_updates(const std::vector<fleet::member_update>& updates, time_point now);
 
-    // Queries.
     std::vector<fleet::member> members() const;
     members_view view() const;
     std::size_t member_count() const;
@@ -58,13 +56,13 @@
     fleet::node self() const;
     std::vector<fleet::member_summary> summary() const;
     fleet::view_difference compare(const std::vector<fleet::member_summary>& theirs) const;
-    std::vector<fleet::member_update> claims_for(const std::vector<std::uint64_t>& wanted) const;
-    /// One of the VMs that watch the store for the fleet.
+    std::vector<fleet::member_update> updates_for(const std::vector<std::uint64_t>& wanted) const;
+    /// Whether this VM is one of the few that watch the store for the fleet.
     bool is_watcher() const;
-    std::vector<config::object> config_since(std::uint64_t revision) const;
+    std::vector<config::object> config_changes_since(std::uint64_t revision) const;
     std::vector<config::object> config_list(const std::string& kind) const;
     std::optional<config::object> config_find(const std::string& kind, const std::string& name) const;
-    std::vector<config::object> config_lacking(const std::vector<config::object_version>& held) const;
+    std::vector<config::object> config_newer_than(const std::vector<config::object_version>& held) const;
     std::vector<config::object_version> config_versions() const;
     std::uint64_t config_version_of(const std::string& kind, const std::string& name) const;
     std::uint64_t config_revision() const;
@@ -73,29 +71,30 @@
     std::uint64_t incarnation() const { return incarnation_; }
 
 private:
-    struct heard_program {
+    struct observed_process {
         fleet::process info;
-        time_point last_heard;
+        time_point last_seen;
     };
     const std::string vm_;
     const std::uint64_t incarnation_;
     std::function<void()> handler_;
     mutable std::mutex members_mutex_;
     fleet::failure_detector detector_;
-    std::map<std::string, heard_program> programs_;
+    std::map<std::string, observed_process> processes_;
     keeper_addresses addresses_;
-    std::uint64_t told_generation_ = 0;
-    /// The choice of watchers takes a hash of every member; it is made again only when a member changed.
-    mutable std::uint64_t chosen_at_generation_ = 0;
-    mutable bool chosen_to_watch_ = false;
+    std::uint64_t notified_generation_ = 0;
+    /// Choosing the watchers hashes every member, so the result is cached until the generation changes.
+    mutable std::uint64_t watcher_generation_ = 0;
+    mutable bool is_watcher_ = false;
     mutable std::mutex config_mutex_;
     config::replica config_;
     std::atomic<bool> watch_failing_{false};
 
-    void changed() const;
-    /// Both under the members' lock.
+    void notify_change() const;
+    /// Requires the members' lock.
     void announce(bool drains, const config::replica_mark& mark, time_point now);
-    bool note_generation();
+    /// True if the generation has changed since the last call. Requires the members' lock.
+    bool update_generation();
 };
 
 } // namespace vanillagauge::keeper
--- a/src/keeper/lease_keeper.hpp
+++ b/src/keeper/lease_renewer.hpp
@@ -1,6 +1,6 @@
 /// Renews this VM's lease in the store.
-#ifndef VANILLAGAUGE_KEEPER_LEASE_KEEPER_HPP
-#define VANILLAGAUGE_KEEPER_LEASE_KEEPER_HPP
+#ifndef VANILLAGAUGE_KEEPER_LEASE_RENEWER_HPP
+#define VANILLAGAUGE_KEEPER_LEASE_RENEWER_HPP
 
 #include "fleet/lease.hpp"
 #include "keeper/keeper_state.hpp"
@@ -14,16 +14,17 @@
 
 namespace vanillagauge::keeper {
 
-class lease_keeper {
+class lease_renewer {
 public:
     /// All three must outlive it.
-    lease_keeper(keeper_state& state, objects::object_client& store, wire::event_loop& loop);
+    lease_renewer(keeper_state& state, objects::object_client& store, wire::event_loop& loop);
 
-    void start() { turn(); }
-    /// Runs with the peer addresses that the leases name, after each list.
+    void start() { tick(); }
+    /// Runs after each listing, with the peer addresses in the leases.
     void on_peers(std::function<void(std::vector<std::string>)> handler) { on_peers_ = std::move(handler); }
     fleet::held_lease held(time_point now) const;
-    std::string owner_of(const std::string& thing, time_point now) const;
+    /// Empty if this VM holds no valid lease and so cannot decide.
+    std::string owner_of(const std::string& key, time_point now) const;
 
 private:
     keeper_state& state_;
@@ -34,10 +35,10 @@
     fleet::lease_cycle cycle_;
     std::function<void(std::vector<std::string>)> on_peers_;
 
-    void turn();
-    void listed(const objects::listing& leases);
-    void failed();
-    void remove_abandoned();
+    void tick();
+    void on_listed(const objects::listing& leases);
+    void on_failed();
+    void delete_abandoned();
 };
 
 } // namespace vanillagauge::keeper
--- a/src/keeper/operator_watch.hpp
+++ b/src/keeper/operator_watch.hpp
@@ -1,4 +1,4 @@
-/// Operators' watches: each waits for the next change of its kind.
+/// Operators' watch requests: each waits for the next change of its kind.
 #ifndef VANILLAGAUGE_KEEPER_OPERATOR_WATCH_HPP
 #define VANILLAGAUGE_KEEPER_OPERATOR_WATCH_HPP
 
@@ -14,20 +14,20 @@
 
 v1::Object to_operator_object(const config::object& item);
 
-/// Safe for several threads. The state and the loop must outlive it.
+/// Thread-safe. The state and the loop must outlive it.
 class operator_watch {
 public:
     operator_watch(const keeper_state& state, wire::event_loop& loop) : state_(state), loop_(loop) {}
 
-    /// Answers once there is a change after the asked revision, or the asked time is over.
+    /// Replies once there is a change after the requested revision, or after the requested time.
     void wait(const v1::WatchRequest& request, v1::WatchReply* reply, google::protobuf::Closure* done);
-    /// Answers those whose change has come.
-    void wake();
-    /// Answers all, and all that come later at once: the process is to stop.
+    /// Replies to the requests that a change matches.
+    void notify();
+    /// Replies to all requests, and from now on to later ones at once, as the process stops.
     void stop();
 
 private:
-    struct waiting {
+    struct pending_watch {
         std::string kind;
         std::uint64_t since = 0;
         v1::WatchReply* reply = nullptr;
@@ -36,13 +36,13 @@
     const keeper_state& state_;
     wire::event_loop& loop_;
     std::mutex mutex_;
-    std::map<std::uint64_t, waiting> waiting_;
-    std::uint64_t next_ticket_ = 0;
+    std::map<std::uint64_t, pending_watch> pending_;
+    std::uint64_t next_id_ = 0;
     bool stopped_ = false;
 
-    bool has_news(const waiting& watcher) const;
-    void answer(const waiting& watcher) const;
-    void expire(std::uint64_t ticket);
+    bool has_changes(const pending_watch& watcher) const;
+    void answer(const pending_watch& watcher) const;
+    void expire(std::uint64_t id);
 };
 
 } // namespace vanillagauge::keeper
--- a/src/keeper/services.hpp
+++ b/src/keeper/services.hpp
@@ -1,11 +1,11 @@
-/// The keeper's services: for the programs of its VM, for other keepers, and for operators.
+/// The keeper's RPC services for the programs of its VM, for other keepers, and for operators.
 #ifndef VANILLAGAUGE_KEEPER_SERVICES_HPP
 #define VANILLAGAUGE_KEEPER_SERVICES_HPP
 
 #include "keeper/config_counter.hpp"
 #include "keeper/gossip.hpp"
 #include "keeper/keeper_state.hpp"
-#include "keeper/lease_keeper.hpp"
+#include "keeper/lease_renewer.hpp"
 #include "keeper/operator_watch.hpp"
 #include "objects/object_client.hpp"
 
@@ -34,7 +34,7 @@
 
 class local_service final : public v1::KeeperLocal {
 public:
-    local_service(keeper_state& state, objects::object_client& store, const lease_keeper& lease,
+    local_service(keeper_state& state, objects::object_client& store, const lease_renewer& lease,
                   wire::event_loop& loop)
         : state_(state), store_(store), lease_(lease), loop_(loop)
     {
@@ -47,11 +47,11 @@
     void Load(google::protobuf::RpcController* control, const v1::LoadRequest* request, v1::LoadReply* reply,
               google::protobuf::Closure* done) override;
 
-    /// Answers every follower that waits.
-    void wake();
+    /// Replies to every pending follower.
+    void notify();
 
 private:
-    struct waiting {
+    struct pending_follow {
         std::uint64_t since = 0;
         std::uint64_t members_generation = 0;
         v1::FollowReply* reply = nullptr;
@@ -59,21 +59,21 @@
     };
     keeper_state& state_;
     objects::object_client& store_;
-    const lease_keeper& lease_;
+    const lease_renewer& lease_;
     wire::event_loop& loop_;
     std::mutex mutex_;
-    std::map<std::uint64_t, waiting> waiting_;
-    std::uint64_t next_ticket_ = 0;
+    std::map<std::uint64_t, pending_follow> pending_;
+    std::uint64_t next_id_ = 0;
 
-    void answer(const waiting& follower) const;
-    void expire(std::uint64_t ticket);
+    void answer(const pending_follow& follower) const;
+    void expire(std::uint64_t id);
 };
 
 class operator_service final : public v1::Operator {
 public:
-    operator_service(keeper_state& state, objects::object_client& store, config_counter& census,
+    operator_service(keeper_state& state, objects::object_client& store, config_counter& counter,
                      operator_watch& watch)
-        : state_(state), store_(store), census_(census), watch_(watch)
+        : state_(state), store_(store), counter_(counter), watch_(watch)
     {
     }
 
@@ -99,7 +99,7 @@
 private:
     keeper_state& state_;
     objects::object_client& store_;
-    config_counter& census_;
+    config_counter& counter_;
     operator_watch& watch_;
 };
 
--- a/src/keeper/snapshot.cpp
+++ b/src/keeper/snapshot.cpp
@@ -14,7 +14,7 @@
 namespace vanillagauge::keeper {
 namespace {
 
-/// The first line: the format, the body's digest and its size.
+/// The header line holds the format, the body's digest and its size.
 constexpr const char* format = "vanillagauge-snapshot-1";
 constexpr mode_t owner_only = 0600;
 
@@ -23,9 +23,9 @@
     return {error_code::unavailable, run_state::in_doubt, what + " " + path + ": " + std::strerror(errno)};
 }
 
-error torn(const std::string& found)
+error incomplete(const std::string& found)
 {
-    return {error_code::incomplete, run_state::not_run, "expected a whole snapshot, found " + found};
+    return {error_code::incomplete, run_state::not_run, "expected a complete snapshot, found " + found};
 }
 
 class open_file {
@@ -76,13 +76,13 @@
     return std::string(format) + " " + digest(body) + " " + std::to_string(body.size()) + "\n" + body;
 }
 
-// A disk may hold half of what was written, or blocks of an older file. Both change size or digest, and the
-// keeper then starts as one without a disk.
+// After a crash the file may be truncated or hold blocks of an older one. Size or digest then differ, and the
+// keeper starts without a snapshot.
 result<snapshot> decode(const std::string& bytes)
 {
     const auto line_end = bytes.find('\n');
     if (line_end == std::string::npos) {
-        return torn("no first line");
+        return incomplete("no header line");
     }
     std::istringstream line(bytes.substr(0, line_end));
     std::string found_format;
@@ -91,14 +91,14 @@
     line >> found_format >> found_digest >> size;
     const auto body = bytes.substr(line_end + 1);
     if (found_format != format) {
-        return torn("the format \"" + found_format + "\"");
+        return incomplete("the format \"" + found_format + "\"");
     }
     if (body.size() != size || digest(body) != found_digest) {
-        return torn(std::to_string(body.size()) + " bytes with digest " + digest(body));
+        return incomplete(std::to_string(body.size()) + " bytes with digest " + digest(body));
     }
     v1::KeeperSnapshot message;
     if (!message.ParseFromString(body)) {
-        return torn("a body that cannot be read");
+        return incomplete("a body that cannot be parsed");
     }
     snapshot content;
     for (const auto& entry : message.entries()) {
@@ -111,17 +111,17 @@
 result<done> write_snapshot(const std::string& path, const snapshot& content)
 {
     const auto folder = std::filesystem::path(path).parent_path();
-    std::error_code refused;
-    std::filesystem::create_directories(folder, refused);
-    const auto draft = path + ".draft";
+    std::error_code ignored;
+    std::filesystem::create_directories(folder, ignored);
+    const auto temp_path = path + ".draft";
     {
-        const open_file file(draft, O_WRONLY | O_CREAT | O_TRUNC);
-        // Synced before the rename: otherwise a crash may leave the new name with none of the new bytes.
+        const open_file file(temp_path, O_WRONLY | O_CREAT | O_TRUNC);
+        // Sync before the rename: otherwise a crash may leave the renamed file without its content.
         if (!file.good() || !file.write(encode(content)) || !file.sync()) {
-            return failed("cannot write", draft);
+            return failed("cannot write", temp_path);
         }
     }
-    if (::rename(draft.c_str(), path.c_str()) != 0) {
+    if (::rename(temp_path.c_str(), path.c_str()) != 0) {
         return failed("cannot rename to", path);
     }
     const open_file directory(folder.string(), O_RDONLY | O_DIRECTORY);
@@ -135,7 +135,7 @@
 {
     std::ifstream file(path, std::ios::binary);
     if (!file) {
-        return error{error_code::not_found, run_state::not_run, "no snapshot " + path};
+        return error{error_code::not_found, run_state::not_run, "no snapshot at " + path};
     }
     std::ostringstream bytes;
     bytes << file.rdbuf();
--- a/src/keeper/snapshot_keeper.cpp
+++ b/src/keeper/snapshot_updater.cpp
@@ -1,4 +1,4 @@
-#include "keeper/snapshot_keeper.hpp"
+#include "keeper/snapshot_updater.hpp"
 
 #include "keeper/snapshot.hpp"
 #include "observe/log.hpp"
@@ -6,17 +6,17 @@
 namespace vanillagauge::keeper {
 namespace {
 
-constexpr milliseconds turn_every{2000};
-constexpr std::size_t most_peers = 32;
+constexpr milliseconds tick_interval{2000};
+constexpr std::size_t max_peers = 32;
 
 } // namespace
 
-snapshot_keeper::snapshot_keeper(keeper_state& state, const std::string& data_folder)
+snapshot_updater::snapshot_updater(keeper_state& state, const std::string& data_folder)
     : state_(state), path_(data_folder.empty() ? "" : data_folder + "/keeper/snapshot")
 {
 }
 
-std::vector<std::string> snapshot_keeper::load()
+std::vector<std::string> snapshot_updater::load()
 {
     if (path_.empty()) {
         return {};
@@ -26,21 +26,21 @@
         observe::log(observe::log_level::warning, "snapshot_not_used", {{"detail", failure(found).detail}});
         return {};
     }
-    // Taken like a peer's word: whatever a peer or the store holds in a higher version replaces it.
+    // Merged like a peer's objects: higher versions from a peer or the store replace them.
     state_.merge_config(value(found).objects);
     return value(found).peer_addresses;
 }
 
-void snapshot_keeper::start()
+void snapshot_updater::start()
 {
     if (!path_.empty()) {
-        disk_.post([this] { turn(); });
+        disk_.post([this] { tick(); });
     }
 }
 
-void snapshot_keeper::turn()
+void snapshot_updater::tick()
 {
-    disk_.after(turn_every, [this] { turn(); });
+    disk_.after(tick_interval, [this] { tick(); });
     const auto revision = state_.config_revision();
     const auto generation = state_.members_generation();
     if (revision != written_revision_ || generation != written_generation_) {
@@ -50,14 +50,14 @@
     }
 }
 
-void snapshot_keeper::write()
+void snapshot_updater::write()
 {
     snapshot content;
-    content.objects = state_.config_since(0);
+    content.objects = state_.config_changes_since(0);
     const auto self = state_.self();
     for (const auto& member : state_.members()) {
         const bool other = member.info.vm != self.vm && member.state == fleet::member_state::alive;
-        if (other && content.peer_addresses.size() < most_peers) {
+        if (other && content.peer_addresses.size() < max_peers) {
             content.peer_addresses.push_back(member.info.peer_address);
         }
     }
