--- a/src/entry/load_announcer.cpp
+++ b/src/entry/load_announcer.cpp
@@ -24,7 +24,7 @@
 void load_announcer::start()
 {
     context_.loop.after(interval, [this] {
-        smoothed_ += smoothing * (static_cast<double>(context_.directory.requests_held()) - smoothed_);
+        smoothed_ += smoothing * (static_cast<double>(context_.directory.outstanding_requests()) - smoothed_);
         const double step = load_step(smoothed_);
         if (step != announced_) {
             announced_ = step;
--- a/src/entry/plain_call.cpp
+++ b/src/entry/plain_call.cpp
@@ -55,17 +55,17 @@
         return;
     }
     auto self = shared_from_this();
-    group_->submit(work_, [self](const result<node::target_group::slot>& slot) {
-        if (ok(slot)) {
-            self->launch(value(slot));
+    group_->submit(work_, [self](const result<node::target_group::endpoint>& endpoint) {
+        if (ok(endpoint)) {
+            self->launch(value(endpoint));
         }
         else {
-            self->finish(failure(slot));
+            self->finish(failure(endpoint));
         }
     });
 }
 
-void plain_call::launch(const node::target_group::slot& slot)
+void plain_call::launch(const node::target_group::endpoint& endpoint)
 {
     int number = 0;
     bool overtaken = false;
@@ -74,15 +74,15 @@
         overtaken = finished_;
         number = ++attempts_;
         if (!overtaken) {
-            running_[number] = {slot.id, steady::now()};
+            running_[number] = {endpoint.id, steady::now()};
         }
         if (group_->limited()) {
-            work_.tried.insert(slot.id);
+            work_.tried.insert(endpoint.id);
         }
-        span_.note("placed", slot.id);
+        span_.note("placed", endpoint.id);
     }
     if (overtaken) {
-        group_->release(slot.id);
+        group_->release(endpoint.id);
         return;
     }
     target::v1::CallRequest forward;
@@ -97,7 +97,8 @@
     options.fresh_connection = number > 1;
     auto self = shared_from_this();
     auto cancel = wire::call<target::v1::CallReply>(
-        *context_.targets.at(slot.address), wire::method<target::v1::PlainService>("Call"), forward, options,
+        *context_.targets.at(endpoint.address), wire::method<target::v1::PlainService>("Call"), forward,
+        options,
         [self, number](const result<target::v1::CallReply>& answer) { self->on_answer(number, answer); });
     {
         const std::lock_guard lock(mutex_);
@@ -149,11 +150,11 @@
         const std::lock_guard lock(mutex_);
         wanted = work_;
     }
-    const auto slot = group_->retry(wanted);
-    if (!slot) {
+    const auto endpoint = group_->retry(wanted);
+    if (!endpoint) {
         return false;
     }
-    launch(*slot);
+    launch(*endpoint);
     return true;
 }
 
--- a/src/entry/plain_call.hpp
+++ b/src/entry/plain_call.hpp
@@ -48,7 +48,7 @@
     bool finished_ = false;
     run_state ran_ = run_state::not_run;
 
-    void launch(const node::target_group::slot& slot);
+    void launch(const node::target_group::endpoint& endpoint);
     void arm_hedge(int number);
     void hedge(int number);
     bool launch_again();
--- a/src/entry/quarantine_exchange.cpp
+++ b/src/entry/quarantine_exchange.cpp
@@ -47,7 +47,7 @@
 quarantine_exchange::quarantine_exchange(const entry_context& context, node::channel_pool& peers)
     : context_(context), peers_(peers)
 {
-    context_.directory.quarantine().on_news([this] { plan(); });
+    context_.directory.quarantine().on_update([this] { plan(); });
 }
 
 void quarantine_exchange::ShareCrashes(google::protobuf::RpcController* /*control*/,
@@ -66,7 +66,7 @@
 
 void quarantine_exchange::plan()
 {
-    const auto known = context_.directory.quarantine().shared().size();
+    const auto known = context_.directory.quarantine().records().size();
     context_.metrics.set("vg_entry_crash_records", static_cast<double>(known));
     if (planned_.exchange(true)) {
         return;
@@ -83,7 +83,7 @@
     auto others = other_entries(*context_.keeper.current(), context_);
     std::shuffle(others.begin(), others.end(), random);
     others.resize(std::min(others.size(), most_told));
-    const auto message = message_of(context_.directory.quarantine().shared());
+    const auto message = message_of(context_.directory.quarantine().records());
     wire::call_options options;
     options.timeout = tell_timeout;
     options.token = context_.settings.tokens.peer;
--- a/src/entry/streamed_generate.cpp
+++ b/src/entry/streamed_generate.cpp
@@ -43,23 +43,23 @@
         return;
     }
     auto self = shared_from_this();
-    group_->submit(work_, [self](const result<node::target_group::slot>& slot) {
-        if (ok(slot)) {
-            self->launch(value(slot));
+    group_->submit(work_, [self](const result<node::target_group::endpoint>& endpoint) {
+        if (ok(endpoint)) {
+            self->launch(value(endpoint));
         }
         else {
-            self->finish(failure(slot));
+            self->finish(failure(endpoint));
         }
     });
 }
 
-void streamed_generate::launch(const node::target_group::slot& slot)
+void streamed_generate::launch(const node::target_group::endpoint& endpoint)
 {
     ++attempts_;
     began_ = steady::now();
     first_chunk_ = {};
-    work_.tried.insert(slot.id);
-    span_.note("placed", slot.id);
+    work_.tried.insert(endpoint.id);
+    span_.note("placed", endpoint.id);
     target::v1::GenerateRequest forward;
     forward.set_request_id(request_.request_id());
     forward.set_prompt(request_.prompt());
@@ -77,9 +77,9 @@
     options.fresh_connection = attempts_ > 1; // others of the pool may be broken too
     auto self = shared_from_this();
     auto cancel = wire::stream<target::v1::GenerateChunk>(
-        *context_.targets.at(slot.address), wire::method<target::v1::Engine>("Generate"), forward, options,
-        [self](const target::v1::GenerateChunk& chunk) { self->take(chunk); },
-        [self, id = slot.id](const result<done>& outcome) { self->on_end(id, outcome); });
+        *context_.targets.at(endpoint.address), wire::method<target::v1::Engine>("Generate"), forward,
+        options, [self](const target::v1::GenerateChunk& chunk) { self->take(chunk); },
+        [self, id = endpoint.id](const result<done>& outcome) { self->on_end(id, outcome); });
     const std::lock_guard lock(mutex_);
     cancel_ = std::move(cancel);
 }
@@ -183,12 +183,12 @@
     if (held || !in_time || attempts_ >= most_attempts || !policy::retry_is_safe(failure, true)) {
         return false;
     }
-    const auto slot = group_->retry(work_);
-    if (!slot) {
+    const auto endpoint = group_->retry(work_);
+    if (!endpoint) {
         return false;
     }
     span_.note("resumed_after", describe(failure));
-    launch(*slot);
+    launch(*endpoint);
     return true;
 }
 
--- a/src/entry/streamed_generate.hpp
+++ b/src/entry/streamed_generate.hpp
@@ -48,7 +48,7 @@
     wire::call_cancel cancel_; ///< of the present attempt
     bool caller_gone_ = false;
 
-    void launch(const node::target_group::slot& slot);
+    void launch(const node::target_group::endpoint& endpoint);
     void take(const target::v1::GenerateChunk& chunk);
     void on_end(const std::string& target, const result<done>& outcome);
     void report(const std::string& target, const result<done>& outcome);
--- a/src/node/channel_pool.cpp
+++ b/src/node/channel_pool.cpp
@@ -8,11 +8,11 @@
 std::shared_ptr<wire::channel> channel_pool::at(const std::string& address)
 {
     const std::lock_guard lock(mutex_);
-    auto& slot = channels_[address];
-    if (!slot) {
-        slot = make_(address);
+    auto& channel = channels_[address];
+    if (!channel) {
+        channel = factory_(address);
     }
-    return slot;
+    return channel;
 }
 
 channel_pool http_channels(wire::event_loop& loop)
--- a/src/node/channel_pool.hpp
+++ b/src/node/channel_pool.hpp
@@ -15,14 +15,14 @@
 
 class channel_pool {
 public:
-    using maker = std::function<std::shared_ptr<wire::channel>(const std::string& address)>;
+    using factory = std::function<std::shared_ptr<wire::channel>(const std::string& address)>;
 
-    explicit channel_pool(maker make) : make_(std::move(make)) {}
+    explicit channel_pool(factory create) : factory_(std::move(create)) {}
 
     std::shared_ptr<wire::channel> at(const std::string& address);
 
 private:
-    maker make_;
+    factory factory_;
     std::mutex mutex_;
     std::map<std::string, std::shared_ptr<wire::channel>> channels_;
 };
--- a/src/node/keeper_link.cpp
+++ b/src/node/keeper_link.cpp
@@ -9,11 +9,11 @@
 /// The keeper counts a program as gone after a few of these without a request.
 constexpr milliseconds follow_wait{500};
 constexpr milliseconds follow_timeout{2500};
-constexpr milliseconds retry_pause{200};
-constexpr milliseconds pace{20};
-constexpr milliseconds tell_timeout{500};
+constexpr milliseconds retry_delay{200};
+constexpr milliseconds poll_delay{20};
+constexpr milliseconds announce_timeout{500};
 
-std::shared_ptr<view> next_view(const view& before, const v1::FollowReply& reply, time_point asked)
+std::shared_ptr<view> next_view(const view& before, const v1::FollowReply& reply, time_point requested_at)
 {
     auto next = std::make_shared<view>(before);
     for (const auto& entry : reply.entries()) {
@@ -26,10 +26,10 @@
         }
     }
     next->isolated = reply.isolated();
-    next->lease_fencing = reply.lease_fencing();
+    next->fencing_token = reply.lease_fencing();
     // Counted from the question, not the answer: an answer that waited in a paused process's socket would
     // otherwise lengthen the lease by the pause.
-    next->lease_until = asked + milliseconds{reply.lease_left_ms()};
+    next->lease_until = requested_at + milliseconds{reply.lease_left_ms()};
     next->draining = reply.draining();
     next->updated = steady::now();
     next->connected = true;
@@ -49,7 +49,7 @@
         const std::lock_guard lock(mutex_);
         self_ = std::move(self);
     }
-    ask();
+    poll();
 }
 
 void keeper_link::announce(std::function<void(fleet::process&)> change)
@@ -57,17 +57,17 @@
     {
         const std::lock_guard lock(mutex_);
         change(self_);
-        ++untold_;
+        ++unacknowledged_;
     }
     // On the loop, as the other questions are, so that none with older news follows.
-    loop_.post([this] { tell(); });
+    loop_.post([this] { send_announcement(); });
 }
 
 void keeper_link::stop()
 {
     std::unique_lock lock(mutex_);
     stopped_ = true;
-    told_.wait_for(lock, tell_timeout, [this] { return untold_ == 0; });
+    acknowledged_.wait_for(lock, announce_timeout, [this] { return unacknowledged_ == 0; });
 }
 
 std::shared_ptr<const view> keeper_link::current() const
@@ -76,12 +76,12 @@
     return view_;
 }
 
-void keeper_link::ask_later(milliseconds pause)
+void keeper_link::poll_later(milliseconds delay)
 {
-    loop_.after(pause, [this] { ask(); });
+    loop_.after(delay, [this] { poll(); });
 }
 
-v1::FollowRequest keeper_link::question() const
+v1::FollowRequest keeper_link::make_request() const
 {
     v1::FollowRequest request;
     *request.mutable_self() = to_message(self_);
@@ -92,25 +92,25 @@
 }
 
 // The question under way bears the older news, and the next one may come after the program's end.
-void keeper_link::tell()
+void keeper_link::send_announcement()
 {
     v1::FollowRequest request;
     {
         const std::lock_guard lock(mutex_);
-        request = question();
+        request = make_request();
     }
     wire::call_options options;
-    options.timeout = tell_timeout;
+    options.timeout = announce_timeout;
     options.token = token_;
     wire::call<v1::FollowReply>(channel_, wire::method<v1::KeeperLocal>("Follow"), request, options,
                                 [this](const result<v1::FollowReply>&) {
                                     const std::lock_guard lock(mutex_);
-                                    --untold_;
-                                    told_.notify_all();
+                                    --unacknowledged_;
+                                    acknowledged_.notify_all();
                                 });
 }
 
-void keeper_link::ask()
+void keeper_link::poll()
 {
     v1::FollowRequest request;
     {
@@ -118,30 +118,30 @@
         if (stopped_) {
             return;
         }
-        request = question();
+        request = make_request();
     }
     request.set_wait_ms(follow_wait.count());
     wire::call_options options;
     options.timeout = follow_timeout;
     options.token = token_;
-    const auto asked = steady::now();
+    const auto requested_at = steady::now();
     wire::call<v1::FollowReply>(channel_, wire::method<v1::KeeperLocal>("Follow"), request, options,
-                                [this, asked](const result<v1::FollowReply>& reply) {
+                                [this, requested_at](const result<v1::FollowReply>& reply) {
                                     if (!ok(reply)) {
-                                        ask_later(retry_pause);
+                                        poll_later(retry_delay);
                                         return;
                                     }
                                     {
                                         const std::lock_guard lock(mutex_);
-                                        view_ = next_view(*view_, value(reply), asked);
+                                        view_ = next_view(*view_, value(reply), requested_at);
                                         revision_ = value(reply).revision();
                                         keeper_incarnation_ = value(reply).keeper_incarnation();
                                         members_generation_ = value(reply).members_generation();
                                     }
-                                    if (handler_) {
-                                        handler_();
+                                    if (on_change_) {
+                                        on_change_();
                                     }
-                                    ask_later(pace);
+                                    poll_later(poll_delay);
                                 });
 }
 
--- a/src/node/keeper_link.hpp
+++ b/src/node/keeper_link.hpp
@@ -28,7 +28,7 @@
     time_point updated;     ///< when the keeper last answered
     bool connected = false; ///< the keeper has answered at least once
     bool isolated = false;  ///< this VM reaches few of the others: it should not offer itself to callers
-    std::uint64_t lease_fencing = 0; ///< 0: this VM holds no lease
+    std::uint64_t fencing_token = 0; ///< 0: this VM holds no lease
     /// By this process's clock. To be compared with the clock again after every wait: whoever was paused
     /// finds here that the lease is over.
     time_point lease_until;
@@ -39,7 +39,7 @@
     keeper_link(wire::event_loop& loop, const config::settings& settings);
 
     /// Called after each change of the view, on the loop's thread or a channel's.
-    void on_change(std::function<void()> handler) { handler_ = std::move(handler); }
+    void on_change(std::function<void()> handler) { on_change_ = std::move(handler); }
     /// Starts to follow, with what the program says of itself.
     void follow(fleet::process self);
     /// Changes what the program says of itself, and tells the keeper at once.
@@ -56,7 +56,7 @@
     wire::event_loop& loop_;
     wire::peer_channel channel_;
     std::string token_;
-    std::function<void()> handler_;
+    std::function<void()> on_change_;
     mutable std::mutex mutex_;
     fleet::process self_;
     std::shared_ptr<const view> view_ = std::make_shared<view>();
@@ -64,14 +64,14 @@
     std::uint64_t keeper_incarnation_ = 0;
     std::uint64_t members_generation_ = 0;
     bool stopped_ = false;
-    std::size_t untold_ = 0; ///< announcements that the keeper has not answered
-    std::condition_variable told_;
+    std::size_t unacknowledged_ = 0; ///< announcements that the keeper has not answered
+    std::condition_variable acknowledged_;
 
     /// With the lock held.
-    v1::FollowRequest question() const;
-    void ask();
-    void tell();
-    void ask_later(milliseconds pause);
+    v1::FollowRequest make_request() const;
+    void poll();
+    void send_announcement();
+    void poll_later(milliseconds delay);
 };
 
 } // namespace vanillagauge::node
--- a/src/node/shared_quarantine.cpp
+++ b/src/node/shared_quarantine.cpp
@@ -2,45 +2,45 @@
 
 namespace vanillagauge::node {
 
-void shared_quarantine::on_crash(std::uint64_t fingerprint, const std::string& target, time_point began)
+void shared_quarantine::on_crash(std::uint64_t fingerprint, const std::string& target, time_point started_at)
 {
     {
         const std::lock_guard lock(mutex_);
-        held_.on_crash(fingerprint, target, began, steady::now());
+        quarantine_.on_crash(fingerprint, target, started_at, steady::now());
     }
-    if (handler_) {
-        handler_();
+    if (on_update_) {
+        on_update_();
     }
 }
 
 void shared_quarantine::on_answer(std::uint64_t fingerprint)
 {
     const std::lock_guard lock(mutex_);
-    held_.on_answer(fingerprint, steady::now());
+    quarantine_.on_answer(fingerprint, steady::now());
 }
 
 void shared_quarantine::merge(const std::vector<policy::crash_record>& records)
 {
-    bool learnt = false;
+    bool changed = false;
     {
         const std::lock_guard lock(mutex_);
-        learnt = held_.merge(records, steady::now());
+        changed = quarantine_.merge(records, steady::now());
     }
-    if (learnt && handler_) {
-        handler_();
+    if (changed && on_update_) {
+        on_update_();
     }
 }
 
 result<done> shared_quarantine::check(std::uint64_t fingerprint) const
 {
     const std::lock_guard lock(mutex_);
-    return held_.check(fingerprint, steady::now());
+    return quarantine_.check(fingerprint, steady::now());
 }
 
-std::vector<policy::crash_record> shared_quarantine::shared() const
+std::vector<policy::crash_record> shared_quarantine::records() const
 {
     const std::lock_guard lock(mutex_);
-    return held_.records(steady::now());
+    return quarantine_.records(steady::now());
 }
 
 } // namespace vanillagauge::node
--- a/src/node/shared_quarantine.hpp
+++ b/src/node/shared_quarantine.hpp
@@ -13,19 +13,19 @@
 class shared_quarantine {
 public:
     /// Called, on any thread, after something new was learnt here or from another node.
-    void on_news(std::function<void()> handler) { handler_ = std::move(handler); }
+    void on_update(std::function<void()> handler) { on_update_ = std::move(handler); }
 
-    void on_crash(std::uint64_t fingerprint, const std::string& target, time_point began);
+    void on_crash(std::uint64_t fingerprint, const std::string& target, time_point started_at);
     void on_answer(std::uint64_t fingerprint);
     void merge(const std::vector<policy::crash_record>& records);
 
     result<done> check(std::uint64_t fingerprint) const;
-    std::vector<policy::crash_record> shared() const;
+    std::vector<policy::crash_record> records() const;
 
 private:
-    std::function<void()> handler_;
+    std::function<void()> on_update_;
     mutable std::mutex mutex_;
-    policy::quarantine held_;
+    policy::quarantine quarantine_;
 };
 
 } // namespace vanillagauge::node
--- a/src/node/target_directory.cpp
+++ b/src/node/target_directory.cpp
@@ -14,9 +14,10 @@
 constexpr milliseconds poll_timeout{400};
 /// Of each deployment and round: the reports are hints, and at thousands of targets asking each one would
 /// cost more than what it saves.
-constexpr std::size_t polled_at_once = 8;
+constexpr std::size_t polls_per_round = 8;
 
-void poll(const std::shared_ptr<target_group>& group, const target_group::slot& target, channel_pool& targets)
+void poll(const std::shared_ptr<target_group>& group, const target_group::endpoint& target,
+          channel_pool& targets)
 {
     const bool is_engine = group->kind() == config::target_kind::engine;
     const auto path =
@@ -29,9 +30,9 @@
             if (!ok(reply)) {
                 return;
             }
-            const auto& told = value(reply);
+            const auto& load = value(reply);
             group->on_report(id,
-                             {told.running(), told.waiting(), told.capacity(), milliseconds{told.age_ms()}});
+                             {load.running(), load.waiting(), load.capacity(), milliseconds{load.age_ms()}});
         });
 }
 
@@ -47,10 +48,10 @@
 void target_directory::update(const view& view)
 {
     const std::lock_guard lock(mutex_);
-    std::map<std::string, held_group> next;
+    std::map<std::string, versioned_group> next;
     for (const auto& item : view.config.list("deployment")) {
-        const auto held = groups_.find(item.name);
-        auto group = taken(item, held == groups_.end() ? held_group{} : held->second);
+        const auto current = groups_.find(item.name);
+        auto group = updated_group(item, current == groups_.end() ? versioned_group{} : current->second);
         if (group.group) {
             next[item.name] = std::move(group);
         }
@@ -59,21 +60,22 @@
 }
 
 /// A deployment that cannot be read leaves the group as it was: callers are served by what is known.
-target_directory::held_group target_directory::taken(const config::object& item, const held_group& held) const
+target_directory::versioned_group target_directory::updated_group(const config::object& item,
+                                                                  const versioned_group& current) const
 {
-    if (held.group && held.version == item.version) {
-        return held;
+    if (current.group && current.version == item.version) {
+        return current;
     }
     const auto spec = config::parse_deployment(item.name, item.spec_json);
     if (!ok(spec)) {
         observe::log(observe::log_level::error, "deployment_unreadable", {{"detail", failure(spec).detail}});
-        return held;
+        return current;
     }
-    if (!held.group) {
+    if (!current.group) {
         return {item.version, std::make_shared<target_group>(value(spec), options_, loop_)};
     }
-    held.group->update(value(spec));
-    return {item.version, held.group};
+    current.group->update(value(spec));
+    return {item.version, current.group};
 }
 
 std::shared_ptr<target_group> target_directory::find(const std::string& deployment) const
@@ -85,27 +87,27 @@
 
 void target_directory::poll_loads(channel_pool& targets)
 {
-    milliseconds pause{0};
+    milliseconds delay{0};
     {
         // Nodes that started together would ask every target at the same moment.
         const std::lock_guard lock(mutex_);
         std::uniform_int_distribution<std::int64_t> draw(poll_interval.count() / 2,
                                                          poll_interval.count() * 3 / 2);
-        pause = milliseconds{draw(random_)};
+        delay = milliseconds{draw(random_)};
     }
-    loop_->after(pause, [this, &targets] {
+    loop_->after(delay, [this, &targets] {
         poll_round(targets);
         poll_loads(targets);
     });
 }
 
-std::size_t target_directory::requests_held() const
+std::size_t target_directory::outstanding_requests() const
 {
-    std::size_t held = 0;
+    std::size_t count = 0;
     for (const auto& group : groups()) {
-        held += group->requests_held();
+        count += group->outstanding_requests();
     }
-    return held;
+    return count;
 }
 
 std::vector<std::shared_ptr<target_group>> target_directory::groups() const
@@ -113,8 +115,8 @@
     const std::lock_guard lock(mutex_);
     std::vector<std::shared_ptr<target_group>> all;
     all.reserve(groups_.size());
-    for (const auto& [name, held] : groups_) {
-        all.push_back(held.group);
+    for (const auto& [name, entry] : groups_) {
+        all.push_back(entry.group);
     }
     return all;
 }
@@ -122,7 +124,7 @@
 void target_directory::poll_round(channel_pool& targets)
 {
     for (const auto& group : groups()) {
-        for (const auto& target : group->next_to_poll(polled_at_once)) {
+        for (const auto& target : group->next_to_poll(polls_per_round)) {
             poll(group, target, targets);
         }
     }
--- a/src/node/target_directory.hpp
+++ b/src/node/target_directory.hpp
@@ -29,11 +29,11 @@
     /// Null where there is no such deployment.
     std::shared_ptr<target_group> find(const std::string& deployment) const;
     /// In flight at targets and waiting for them, of all deployments.
-    std::size_t requests_held() const;
+    std::size_t outstanding_requests() const;
     shared_quarantine& quarantine() { return quarantine_; }
 
 private:
-    struct held_group {
+    struct versioned_group {
         std::uint64_t version = 0; ///< of the deployment's object
         std::shared_ptr<target_group> group;
     };
@@ -42,10 +42,10 @@
     const policy::pool_options options_;
     shared_quarantine quarantine_;
     mutable std::mutex mutex_;
-    std::map<std::string, held_group> groups_;
+    std::map<std::string, versioned_group> groups_;
     std::mt19937_64 random_{std::random_device{}()};
 
-    held_group taken(const config::object& item, const held_group& held) const;
+    versioned_group updated_group(const config::object& item, const versioned_group& current) const;
     void poll_round(channel_pool& targets);
     std::vector<std::shared_ptr<target_group>> groups() const;
 };
--- a/src/node/target_group.cpp
+++ b/src/node/target_group.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr milliseconds full_retry_after{200};
-constexpr milliseconds least_timer{1};
+constexpr milliseconds min_timer_delay{1};
 
 } // namespace
 
@@ -15,22 +15,22 @@
                            wire::event_loop* loop)
     : options_(options), loop_(loop), spec_(std::move(spec)), scheduler_(std::random_device{}(), options)
 {
-    take_targets();
+    update_targets();
 }
 
 void target_group::update(const config::deployment_spec& spec)
 {
-    std::vector<woken> ones;
+    std::vector<notification> notifications;
     {
         const std::lock_guard lock(mutex_);
         spec_ = spec;
-        take_targets();
-        ones = advance();
+        update_targets();
+        notifications = advance();
     }
-    wake(std::move(ones));
+    notify(std::move(notifications));
 }
 
-void target_group::take_targets()
+void target_group::update_targets()
 {
     addresses_.clear();
     std::vector<policy::pool_target> targets;
@@ -42,64 +42,64 @@
     scheduler_.update(targets, steady::now());
 }
 
-void target_group::submit(policy::work item, on_slot ready)
+void target_group::submit(policy::work item, on_placed completion)
 {
     const auto now = steady::now();
     std::unique_lock lock(mutex_);
     item.id = next_id_++;
     const auto id = item.id;
     if (loop_ == nullptr) {
-        const auto taken = scheduler_.acquire(item, now);
-        auto outcome = taken ? slot_of(*taken)
-                             : error{error_code::overloaded, run_state::not_run,
-                                     "every target is at its limit", full_retry_after};
+        const auto placed = scheduler_.acquire(item, now);
+        auto outcome = placed ? endpoint_of(*placed)
+                              : error{error_code::overloaded, run_state::not_run,
+                                      "every target is at its limit", full_retry_after};
         lock.unlock();
-        ready(std::move(outcome));
+        completion(std::move(outcome));
         return;
     }
     const auto decided = scheduler_.submit(std::move(item), now);
-    std::vector<woken> ones;
+    std::vector<notification> notifications;
     if (std::holds_alternative<policy::queued>(decided)) {
-        ready_[id] = std::move(ready);
-        ones = advance(); // others may have had to give way
+        waiting_[id] = std::move(completion);
+        notifications = advance(); // others may have had to give way
     }
-    else if (const auto* place = std::get_if<policy::placed>(&decided)) {
-        ones.push_back({std::move(ready), slot_of(*place)});
+    else if (const auto* placed = std::get_if<policy::placed>(&decided)) {
+        notifications.push_back({std::move(completion), endpoint_of(*placed)});
     }
     else {
-        ones.push_back({std::move(ready), std::get<error>(decided)});
+        notifications.push_back({std::move(completion), std::get<error>(decided)});
     }
     lock.unlock();
-    wake(std::move(ones));
+    notify(std::move(notifications));
 }
 
-std::optional<target_group::slot> target_group::retry(const policy::work& item)
+std::optional<target_group::endpoint> target_group::retry(const policy::work& item)
 {
     const std::lock_guard lock(mutex_);
-    const auto taken = scheduler_.retry(item, steady::now());
-    return taken ? std::optional(value(slot_of(*taken))) : std::nullopt;
+    const auto placed = scheduler_.retry(item, steady::now());
+    return placed ? std::optional(value(endpoint_of(*placed))) : std::nullopt;
 }
 
-std::optional<target_group::slot> target_group::acquire(const std::string& near_domain,
-                                                        const std::set<std::string>& tried)
+std::optional<target_group::endpoint> target_group::acquire(const std::string& near_domain,
+                                                            const std::set<std::string>& tried)
 {
     policy::work item;
     item.near_domain = near_domain;
     item.tried = tried;
     const std::lock_guard lock(mutex_);
-    const auto taken = scheduler_.acquire(item, steady::now());
-    return taken ? std::optional(value(slot_of(*taken))) : std::nullopt;
+    const auto placed = scheduler_.acquire(item, steady::now());
+    return placed ? std::optional(value(endpoint_of(*placed))) : std::nullopt;
 }
 
 void target_group::release(const std::string& target_id, const policy::attempt_report& report)
 {
-    std::vector<woken> ones;
+    std::vector<notification> notifications;
     {
         const std::lock_guard lock(mutex_);
         scheduler_.finish(target_id, report, steady::now());
-        ones = advance();
+        notifications = advance();
     }
-    wake(std::move(ones));
+    notify(std::move(notifications));
 }
 
 void target_group::on_report(const std::string& target_id, const policy::load_report& report)
@@ -120,12 +120,12 @@
     return spec_.default_deadline;
 }
 
-std::vector<target_group::slot> target_group::next_to_poll(std::size_t count)
+std::vector<target_group::endpoint> target_group::next_to_poll(std::size_t count)
 {
     const std::lock_guard lock(mutex_);
     const auto& targets = spec_.targets;
-    std::vector<slot> chosen;
-    for (std::size_t place = 0; place < std::min(count, targets.size()); ++place) {
+    std::vector<endpoint> chosen;
+    for (std::size_t index = 0; index < std::min(count, targets.size()); ++index) {
         const auto& target = targets[next_poll_++ % targets.size()];
         chosen.push_back({target.id, target.address});
     }
@@ -138,31 +138,31 @@
     return std::chrono::ceil<milliseconds>(scheduler_.pool().hedge_delay());
 }
 
-std::size_t target_group::requests_held() const
+std::size_t target_group::outstanding_requests() const
 {
     const std::lock_guard lock(mutex_);
     return scheduler_.waiting() + static_cast<std::size_t>(scheduler_.pool().in_flight());
 }
 
-result<target_group::slot> target_group::slot_of(const policy::placed& place) const
+result<target_group::endpoint> target_group::endpoint_of(const policy::placed& placed) const
 {
-    return slot{place.target, addresses_.at(place.target)};
+    return endpoint{placed.target, addresses_.at(placed.target)};
 }
 
-std::vector<target_group::woken> target_group::advance()
+std::vector<target_group::notification> target_group::advance()
 {
     auto found = scheduler_.advance(steady::now());
-    std::vector<woken> ones;
-    for (const auto& place : found.started) {
-        const auto waiting = ready_.extract(place.work_id);
-        ones.push_back({std::move(waiting.mapped()), slot_of(place)});
+    std::vector<notification> notifications;
+    for (const auto& placed : found.started) {
+        const auto waiting = waiting_.extract(placed.work_id);
+        notifications.push_back({std::move(waiting.mapped()), endpoint_of(placed)});
     }
-    for (auto& away : found.refused) {
-        const auto waiting = ready_.extract(away.work_id);
-        ones.push_back({std::move(waiting.mapped()), std::move(away.reason)});
+    for (auto& refused : found.refused) {
+        const auto waiting = waiting_.extract(refused.work_id);
+        notifications.push_back({std::move(waiting.mapped()), std::move(refused.reason)});
     }
     arm_timer();
-    return ones;
+    return notifications;
 }
 
 // One timer for the group, armed only while requests wait: an idle group costs nothing.
@@ -173,26 +173,26 @@
         return;
     }
     timer_armed_ = true;
-    const auto delay = std::max(least_timer, remaining(steady::now(), *next) + least_timer);
+    const auto delay = std::max(min_timer_delay, remaining(steady::now(), *next) + min_timer_delay);
     loop_->after(delay, [weak = weak_from_this()] {
         const auto self = weak.lock();
         if (!self) {
             return;
         }
-        std::vector<woken> ones;
+        std::vector<notification> notifications;
         {
             const std::lock_guard lock(self->mutex_);
             self->timer_armed_ = false;
-            ones = self->advance();
+            notifications = self->advance();
         }
-        wake(std::move(ones));
+        notify(std::move(notifications));
     });
 }
 
-void target_group::wake(std::vector<woken> ones)
+void target_group::notify(std::vector<notification> notifications)
 {
-    for (auto& one : ones) {
-        one.ready(std::move(one.outcome));
+    for (auto& item : notifications) {
+        item.completion(std::move(item.outcome));
     }
 }
 
