--- a/src/entry/claim_calls.cpp
+++ b/src/entry/claim_calls.cpp
@@ -9,11 +9,11 @@
 /// A record is one message to a nearby process; a caller must not wait longer for a backup that is lost.
 constexpr milliseconds record_timeout{1000};
 /// The first record on a connection that the backup's restart has broken is lost with it.
-constexpr int record_attempts = 2;
+constexpr int max_record_attempts = 2;
 constexpr milliseconds close_timeout{1500};
 constexpr milliseconds settled_timeout{2000};
 /// The other side's answer has to travel back before the caller's deadline.
-constexpr milliseconds return_time{30};
+constexpr milliseconds reply_margin{30};
 /// Of the time left, while the backup is still to be asked after the primary.
 constexpr double primary_share = 0.6;
 /// A flood fills at most this much; see docs/design/claims.md.
@@ -28,7 +28,7 @@
 
 milliseconds time_left(time_point deadline)
 {
-    return remaining(steady::now(), deadline) - return_time;
+    return remaining(steady::now(), deadline) - reply_margin;
 }
 
 v1::CallRequest with_deadline(v1::CallRequest request, milliseconds left)
@@ -48,14 +48,14 @@
 claim_calls::claim_calls(claim_context context, claim_runner runner)
     : context_(std::move(context)), runner_(std::move(runner)),
       link_(context_.keeper, context_.peers, context_.peer_token),
-      store_(shard_limits), own_{context_.incarnation}
+      store_(shard_limits), incarnations_{context_.incarnation}
 {
 }
 
 claims::pair_role claim_calls::role_of(const claims::claim_pair& pair) const
 {
-    const std::lock_guard lock(own_mutex_);
-    return claims::role_of(pair, context_.vm, own_);
+    const std::lock_guard lock(incarnations_mutex_);
+    return claims::role_of(pair, context_.vm, incarnations_);
 }
 
 void claim_calls::call(const v1::CallRequest& request, time_point deadline,
@@ -70,34 +70,35 @@
         on_done(failure(key));
         return;
     }
-    auto call = std::make_shared<asked_call>(asked_call{
+    auto call = std::make_shared<pending_call>(pending_call{
         request, value(std::move(key)), request_fingerprint(request), deadline, trace, std::move(on_done)});
     switch (role_of(call->key.pair)) {
     case claims::pair_role::primary:
-        at_primary(call);
+        call_as_primary(call);
         return;
     case claims::pair_role::backup:
-        at_backup(call);
+        call_as_backup(call);
         return;
     case claims::pair_role::restarted_primary:
-        ask_backup_to_close(call);
+        request_close(call);
         return;
     case claims::pair_role::restarted_backup:
-        ask_primary(call, time_left(deadline),
-                    [call] { call->on_done(claims::refusal_error(claims::refusal::pair_unavailable)); });
+        forward_to_primary(call, time_left(deadline), [call] {
+            call->on_done(claims::refusal_error(claims::refusal::pair_unavailable));
+        });
         return;
     case claims::pair_role::neither:
-        ask_primary(call,
-                    milliseconds(static_cast<std::int64_t>(primary_share *
-                                                           static_cast<double>(time_left(deadline).count()))),
-                    [this, call] { ask_backup(call); });
+        forward_to_primary(call,
+                           milliseconds(static_cast<std::int64_t>(
+                               primary_share * static_cast<double>(time_left(deadline).count()))),
+                           [this, call] { forward_to_backup(call); });
         return;
     }
 }
 
 // ---- The primary's side ----
 
-void claim_calls::at_primary(const asked& call)
+void claim_calls::call_as_primary(const pending_call_ptr& call)
 {
     const auto who = ++next_waiter_;
     const auto refused = runner_.refusal(call->request);
@@ -122,10 +123,10 @@
         return;
     }
     const auto left = remaining(steady::now(), deadline);
-    found->second.timer = context_.loop.after(left, [this, who, key] { leave(key, who); });
+    found->second.timer = context_.loop.after(left, [this, who, key] { remove_waiter(key, who); });
 }
 
-void claim_calls::leave(const claims::call_key& key, claims::waiter_id who)
+void claim_calls::remove_waiter(const claims::call_key& key, claims::waiter_id who)
 {
     perform(store_.with_primary(key.pair,
                                 [&](claims::primary& primary) { return primary.remove_waiter(key, who); }));
@@ -147,7 +148,7 @@
             reply(*answer);
         }
         else {
-            renew();
+            renew_incarnation();
         }
     }
 }
@@ -157,7 +158,7 @@
 {
     v1::ClaimRequest request;
     request.set_pair(claims::format_pair(action.key.pair));
-    *request.mutable_record() = claim_message(key_text(action.key), action.fingerprint);
+    *request.mutable_record() = claim_message(format_key(action.key), action.fingerprint);
     link_.record(action.key.pair.backup.vm, request, {record_timeout, trace},
                  [this, action, trace, attempt](const result<v1::ClaimReply>& reply) {
                      on_recorded(action, trace, attempt, reply);
@@ -167,11 +168,11 @@
 void claim_calls::on_recorded(const claims::send_record& action, const observe::trace_context& trace,
                               int attempt, const result<v1::ClaimReply>& reply)
 {
-    if (!ok(reply) && failure(reply).code == error_code::unavailable && attempt < record_attempts) {
+    if (!ok(reply) && failure(reply).code == error_code::unavailable && attempt < max_record_attempts) {
         send_record(action, trace, attempt + 1);
         return;
     }
-    const bool answered = ok(reply) && value(reply).key() == key_text(action.key);
+    const bool answered = ok(reply) && value(reply).key() == format_key(action.key);
     if (answered && value(reply).recorded()) {
         perform(store_.with_primary(action.key.pair, [&](claims::primary& primary) {
             return primary.acknowledged(action.key, wall_milliseconds());
@@ -235,13 +236,13 @@
 /// The backup closed the pair while this process was paused or cut off, so every further key under it would
 /// be refused. Under another incarnation number Locate mints keys of new pairs; the older numbers stay known,
 /// since this process's memory covers them.
-void claim_calls::renew()
+void claim_calls::renew_incarnation()
 {
     std::uint64_t number = 0;
     {
-        const std::lock_guard lock(own_mutex_);
-        number = std::max(node::new_incarnation(), *own_.rbegin() + 1);
-        own_.insert(number);
+        const std::lock_guard lock(incarnations_mutex_);
+        number = std::max(node::new_incarnation(), *incarnations_.rbegin() + 1);
+        incarnations_.insert(number);
     }
     observe::log(observe::log_level::warning, "claim_pairs_renewed",
                  {{"incarnation", static_cast<std::int64_t>(number)}});
@@ -250,7 +251,7 @@
 
 // ---- The backup's side ----
 
-void claim_calls::at_backup(const asked& call)
+void claim_calls::call_as_backup(const pending_call_ptr& call)
 {
     const auto known = store_.with_backup(call->key.pair, [&](claims::backup& backup) {
         return backup.settled_answer(call->key, call->fingerprint);
@@ -265,10 +266,10 @@
         take_over(call);
         return;
     }
-    ask_primary(call, time_left(call->deadline), [this, call] { take_over(call); });
+    forward_to_primary(call, time_left(call->deadline), [this, call] { take_over(call); });
 }
 
-void claim_calls::take_over(const asked& call)
+void claim_calls::take_over(const pending_call_ptr& call)
 {
     const auto verdict = store_.with_backup(call->key.pair, [&](claims::backup& backup) {
         return backup.take_over(call->key, call->fingerprint, wall_milliseconds());
@@ -344,14 +345,15 @@
 
 // ---- Asking the others ----
 
-void claim_calls::ask_primary(const asked& call, milliseconds timeout, std::function<void()> otherwise)
+void claim_calls::forward_to_primary(const pending_call_ptr& call, milliseconds timeout,
+                                     std::function<void()> fallback)
 {
     if (timeout.count() <= 0) {
         call->on_done(claims::refusal_error(claims::refusal::deadline_exceeded));
         return;
     }
     link_.forward(call->key.pair.primary.vm, with_deadline(call->request, timeout), {timeout, call->trace},
-                  [call, otherwise = std::move(otherwise)](const result<v1::ClaimVerdict>& reply) {
+                  [call, fallback = std::move(fallback)](const result<v1::ClaimVerdict>& reply) {
                       if (ok(reply) && value(reply).decided()) {
                           call->on_done(from_verdict(value(reply), call->request));
                           return;
@@ -359,15 +361,15 @@
                       // The call may be running at a primary that is slow: closing its pair would end every
                       // other call under it, so the deadline alone is no reason for a takeover.
                       if (!ok(reply) && failure(reply).code == error_code::deadline_exceeded &&
-                          time_left(call->deadline) <= return_time) {
+                          time_left(call->deadline) <= reply_margin) {
                           call->on_done(claims::refusal_error(claims::refusal::deadline_exceeded));
                           return;
                       }
-                      otherwise();
+                      fallback();
                   });
 }
 
-void claim_calls::ask_backup(const asked& call)
+void claim_calls::forward_to_backup(const pending_call_ptr& call)
 {
     const auto timeout = time_left(call->deadline);
     link_.forward(call->key.pair.backup.vm, with_deadline(call->request, timeout), {timeout, call->trace},
@@ -379,7 +381,7 @@
 
 /// This VM's primary of the key was an earlier run, which may have dispatched it: only the backup can tell,
 /// and only once it has closed the pair.
-void claim_calls::ask_backup_to_close(const asked& call)
+void claim_calls::request_close(const pending_call_ptr& call)
 {
     v1::ClaimPairRequest request;
     request.set_pair(claims::format_pair(call->key.pair));
--- a/src/entry/claim_calls.hpp
+++ b/src/entry/claim_calls.hpp
@@ -64,7 +64,7 @@
         completion on_done;
         wire::timer_cancel timer{};
     };
-    struct asked_call {
+    struct pending_call {
         v1::CallRequest request;
         claims::call_key key;
         std::uint64_t fingerprint = 0;
@@ -72,28 +72,29 @@
         observe::trace_context trace;
         completion on_done;
     };
-    using asked = std::shared_ptr<asked_call>;
+    using pending_call_ptr = std::shared_ptr<pending_call>;
 
     claim_context context_;
     claim_runner runner_;
     claim_link link_;
     claim_store store_;
     std::atomic<claims::waiter_id> next_waiter_{0};
-    mutable std::mutex own_mutex_;
-    std::set<std::uint64_t> own_;
+    mutable std::mutex incarnations_mutex_;
+    std::set<std::uint64_t> incarnations_;
     std::mutex waiting_mutex_;
     std::map<claims::waiter_id, waiting_call> waiting_;
 
     claims::pair_role role_of(const claims::claim_pair& pair) const;
-    void at_primary(const asked& call);
-    void at_backup(const asked& call);
-    void take_over(const asked& call);
-    void ask_backup_to_close(const asked& call);
-    void ask_primary(const asked& call, milliseconds timeout, std::function<void()> otherwise);
-    void ask_backup(const asked& call);
+    void call_as_primary(const pending_call_ptr& call);
+    void call_as_backup(const pending_call_ptr& call);
+    void take_over(const pending_call_ptr& call);
+    void request_close(const pending_call_ptr& call);
+    void forward_to_primary(const pending_call_ptr& call, milliseconds timeout,
+                            std::function<void()> fallback);
+    void forward_to_backup(const pending_call_ptr& call);
 
     void arm_deadline(claims::waiter_id who, const claims::call_key& key, time_point deadline);
-    void leave(const claims::call_key& key, claims::waiter_id who);
+    void remove_waiter(const claims::call_key& key, claims::waiter_id who);
     void perform(const claims::primary_actions& actions, const observe::trace_context& trace = {});
     void send_record(const claims::send_record& action, const observe::trace_context& trace, int attempt);
     void on_recorded(const claims::send_record& action, const observe::trace_context& trace, int attempt,
@@ -101,7 +102,7 @@
     void dispatch(const claims::dispatch_call& action);
     void send_settled(const claims::settled_record& record);
     void reply(const claims::send_reply& action);
-    void renew();
+    void renew_incarnation();
 };
 
 /// Milliseconds since the epoch, for key expiry.
--- a/src/entry/claim_hand_over.cpp
+++ b/src/entry/claim_hand_over.cpp
@@ -12,10 +12,10 @@
 
 constexpr std::size_t records_per_transfer = 256;
 constexpr milliseconds transfer_timeout{2000};
-constexpr milliseconds settle_poll{20};
+constexpr milliseconds settle_poll_interval{20};
 /// Calls in flight end by their own deadlines; this only bounds a deadline that a caller set very late.
-constexpr milliseconds longest_settle{30000};
-constexpr milliseconds expire_every{2000};
+constexpr milliseconds max_settle_time{30000};
+constexpr milliseconds expiry_interval{2000};
 
 std::vector<v1::ClaimTransfer> transfers_of(const claims::claim_pair& pair,
                                             const std::vector<claims::settled_record>& records)
@@ -36,12 +36,12 @@
 void claim_calls::hand_over()
 {
     store_.freeze();
-    const auto latest = steady::now() + longest_settle;
+    const auto latest = steady::now() + max_settle_time;
     while (store_.unsettled() > 0 && steady::now() < latest) {
-        std::this_thread::sleep_for(settle_poll);
+        std::this_thread::sleep_for(settle_poll_interval);
     }
     std::vector<std::future<bool>> answers;
-    for (const auto& [pair, records] : store_.memory()) {
+    for (const auto& [pair, records] : store_.settled_records()) {
         for (const auto& transfer : transfers_of(pair, records)) {
             auto accepted = std::make_shared<std::promise<bool>>();
             answers.push_back(accepted->get_future());
@@ -61,7 +61,7 @@
 
 void claim_calls::start_expiry()
 {
-    context_.loop.after(expire_every, [this] {
+    context_.loop.after(expiry_interval, [this] {
         store_.expire(wall_milliseconds());
         start_expiry();
     });
--- a/src/entry/claim_link.hpp
+++ b/src/entry/claim_link.hpp
@@ -12,7 +12,7 @@
 namespace vanillagauge::entry {
 
 /// The time a call may take, and the trace that it belongs to (empty: none).
-struct hop {
+struct peer_call_options {
     milliseconds timeout{0};
     observe::trace_context trace{};
 };
@@ -26,13 +26,13 @@
     {
     }
 
-    void record(const std::string& vm, const v1::ClaimRequest& request, const hop& from,
+    void record(const std::string& vm, const v1::ClaimRequest& request, const peer_call_options& options,
                 std::function<void(result<v1::ClaimReply>)> on_done) const;
-    void close(const std::string& vm, const v1::ClaimPairRequest& request, const hop& from,
+    void close(const std::string& vm, const v1::ClaimPairRequest& request, const peer_call_options& options,
                std::function<void(result<v1::ClaimPairReply>)> on_done) const;
-    void transfer(const std::string& vm, const v1::ClaimTransfer& request, const hop& from,
+    void transfer(const std::string& vm, const v1::ClaimTransfer& request, const peer_call_options& options,
                   std::function<void(result<v1::ClaimTransferReply>)> on_done) const;
-    void forward(const std::string& vm, const v1::CallRequest& request, const hop& from,
+    void forward(const std::string& vm, const v1::CallRequest& request, const peer_call_options& options,
                  std::function<void(result<v1::ClaimVerdict>)> on_done) const;
 
 private:
@@ -42,7 +42,7 @@
 
     template <class Response>
     void send(const std::string& vm, const char* method, const google::protobuf::Message& request,
-              const hop& from, std::function<void(result<Response>)> on_done) const;
+              const peer_call_options& options, std::function<void(result<Response>)> on_done) const;
 };
 
 } // namespace vanillagauge::entry
--- a/src/entry/claim_run_guard.cpp
+++ b/src/entry/claim_run_guard.cpp
@@ -8,21 +8,21 @@
 /// Whether the call may have reached a target; shared by the channels of one call.
 class run_permit {
 public:
-    bool take()
+    bool acquire()
     {
         const std::lock_guard lock(mutex_);
-        return !std::exchange(taken_, true);
+        return !std::exchange(acquired_, true);
     }
 
-    void give_back()
+    void release()
     {
         const std::lock_guard lock(mutex_);
-        taken_ = false;
+        acquired_ = false;
     }
 
 private:
     std::mutex mutex_;
-    bool taken_ = false;
+    bool acquired_ = false;
 };
 
 /// Two things would run a call twice behind the claim protocol's back. The HTTP client sends a request once
@@ -41,7 +41,7 @@
     wire::call_cancel start(const std::string& path, std::string body, const wire::call_options& options,
                             on_chunk chunk, on_done done) override
     {
-        if (!permit_->take()) {
+        if (!permit_->acquire()) {
             done(error{error_code::cancelled, run_state::not_run, "the call may have run already"});
             return [] {};
         }
@@ -49,7 +49,7 @@
         fresh.fresh_connection = true;
         auto finish = [permit = permit_, done = std::move(done)](result<std::string> outcome) {
             if (!ok(outcome) && failure(outcome).ran == run_state::not_run) {
-                permit->give_back();
+                permit->release();
             }
             done(std::move(outcome));
         };
--- a/src/entry/claim_store.hpp
+++ b/src/entry/claim_store.hpp
@@ -13,7 +13,7 @@
 /// All keys of one pair lie in one shard, chosen by the other process's VM: closing a pair must be one step.
 class claim_store {
 public:
-    static constexpr std::size_t shards = 4;
+    static constexpr std::size_t shard_count = 4;
 
     explicit claim_store(claims::memory_limits limits_per_shard);
 
@@ -21,7 +21,7 @@
     template <class Use>
     auto with_primary(const claims::claim_pair& pair, Use use)
     {
-        auto& part = at(pair.backup.vm);
+        auto& part = shard_of(pair.backup.vm);
         const std::lock_guard lock(part.mutex);
         return use(part.primary);
     }
@@ -30,7 +30,7 @@
     template <class Use>
     auto with_backup(const claims::claim_pair& pair, Use use)
     {
-        auto& part = at(pair.primary.vm);
+        auto& part = shard_of(pair.primary.vm);
         const std::lock_guard lock(part.mutex);
         return use(part.backup);
     }
@@ -39,7 +39,7 @@
     void expire(std::int64_t wall_ms);
     std::size_t unsettled() const;
     std::size_t keys() const;
-    std::map<claims::claim_pair, std::vector<claims::settled_record>> memory() const;
+    std::map<claims::claim_pair, std::vector<claims::settled_record>> settled_records() const;
 
 private:
     struct shard {
@@ -47,9 +47,9 @@
         claims::primary primary;
         claims::backup backup;
     };
-    std::array<shard, shards> parts_;
+    std::array<shard, shard_count> shards_;
 
-    shard& at(const std::string& vm);
+    shard& shard_of(const std::string& vm);
 };
 
 } // namespace vanillagauge::entry
--- a/src/entry/claim_wire.cpp
+++ b/src/entry/claim_wire.cpp
@@ -11,7 +11,7 @@
 constexpr int settled_state = 1;
 constexpr int hexadecimal = 16;
 
-error unreadable(const char* what)
+error invalid_reply(const char* what)
 {
     return {error_code::incomplete, run_state::in_doubt, what};
 }
@@ -62,7 +62,7 @@
 result<v1::CallReply> from_verdict(const v1::ClaimVerdict& verdict, const v1::CallRequest& request)
 {
     if (verdict.key() != request.key()) {
-        return unreadable("the peer answered for another key");
+        return invalid_reply("the peer answered for another key");
     }
     if (!verdict.decided()) {
         return claims::refusal_error(claims::refusal::pair_unavailable);
@@ -71,10 +71,10 @@
         return wire::from_message(verdict.error());
     }
     if (verdict.reply().request_id() != request.request_id()) {
-        return unreadable("the peer answered another request");
+        return invalid_reply("the peer answered another request");
     }
     if (verdict.reply().digest() != digest(verdict.reply().body())) {
-        return unreadable("the peer's answer is not whole");
+        return invalid_reply("the peer's answer is not whole");
     }
     return verdict.reply();
 }
@@ -89,7 +89,7 @@
 
 v1::ClaimRecord settled_message(const claims::settled_record& record)
 {
-    auto message = claim_message(key_text(record.key), record.fingerprint);
+    auto message = claim_message(format_key(record.key), record.fingerprint);
     message.set_state(settled_state);
     if (!ok(record.answer)) {
         *message.mutable_error() = wire::to_message(failure(record.answer));
@@ -126,7 +126,7 @@
     return claims::settled_record{value(std::move(key)), value(fingerprint), std::move(answer)};
 }
 
-std::string key_text(const claims::call_key& key)
+std::string format_key(const claims::call_key& key)
 {
     return claims::format_pair(key.pair) + "~" + key.suffix;
 }
--- a/src/entry/claim_wire.hpp
+++ b/src/entry/claim_wire.hpp
@@ -28,7 +28,7 @@
 bool is_settled(const v1::ClaimRecord& message);
 result<claims::settled_record> from_message(const v1::ClaimRecord& message);
 
-std::string key_text(const claims::call_key& key);
+std::string format_key(const claims::call_key& key);
 /// The pair of a key prefix or pair text.
 result<claims::claim_pair> parse_pair(const std::string& text);
 /// `invalid_argument` where the text is no fingerprint.
