--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -23,10 +23,10 @@
             "expected a deployment of kind " + kind + ", found \"" + deployment + "\""};
 }
 
-milliseconds deadline_of(std::int64_t asked_ms, const node::target_group* group)
+milliseconds deadline_of(std::int64_t requested_ms, const node::target_group* group)
 {
-    if (asked_ms > 0) {
-        return milliseconds{asked_ms};
+    if (requested_ms > 0) {
+        return milliseconds{requested_ms};
     }
     return group != nullptr ? group->default_deadline() : fallback_deadline;
 }
@@ -60,9 +60,9 @@
     for (const auto& address : value(found).addresses) {
         reply->add_addresses(address);
     }
-    reply->set_keep_ms(advice_life(context_.settings.drain_time).count());
+    reply->set_keep_ms(advice_ttl(context_.settings.drain_time).count());
     reply->set_key_prefix(value(found).key_prefix);
-    reply->set_key_expires_ms(key_life.count());
+    reply->set_key_expires_ms(key_ttl.count());
     done->Run();
 }
 
--- a/src/entry/locate.hpp
+++ b/src/entry/locate.hpp
@@ -11,16 +11,16 @@
 
 /// How long a caller may keep an answer: less than the time that a stopping VM serves after it left the
 /// advice.
-milliseconds advice_life(milliseconds drain_time);
+milliseconds advice_ttl(milliseconds drain_time);
 /// How long keys of an answer may be used.
-constexpr milliseconds key_life{60000};
+constexpr milliseconds key_ttl{60000};
 
 struct location {
     std::vector<std::string> addresses; ///< in the order to try them
     std::string key_prefix;             ///< empty while only one entry process is known
 };
 
-struct locate_question {
+struct locate_query {
     std::string near_domain; ///< of the caller, where known
     std::string caller;
     std::string own_vm; ///< of the process that answers
@@ -30,7 +30,7 @@
 
 /// Near entries first, then those with less load; one caller gets the same order while these stay as they
 /// are. `unavailable` where no entry process is known to be alive.
-result<location> locate(const node::view& view, const locate_question& question);
+result<location> locate(const node::view& view, const locate_query& query);
 
 } // namespace vanillagauge::entry
 
--- a/tests/entry/locate_tests.cpp
+++ b/tests/entry/locate_tests.cpp
@@ -45,8 +45,8 @@
 {
     const auto view = view_of({entry_at("vm-1", "piraeus"), entry_at("vm-2", "piraeus")});
     std::set<std::string> firsts;
-    for (int place = 0; place < 50; ++place) {
-        const auto caller = "phone-" + std::to_string(place);
+    for (int index = 0; index < 50; ++index) {
+        const auto caller = "phone-" + std::to_string(index);
         firsts.insert(advice(view, caller).front());
         EXPECT_EQ(advice(view, caller), advice(view, caller));
     }
@@ -57,7 +57,7 @@
 {
     const auto view = view_of({entry_at("vm-1", "piraeus"), entry_at("vm-2", "piraeus")});
     std::set<std::string> firsts;
-    for (int place = 0; place < 100; ++place) {
+    for (int index = 0; index < 100; ++index) {
         firsts.insert(advice(view, "").front());
     }
     EXPECT_EQ(firsts.size(), 2U);
@@ -80,7 +80,7 @@
                  entry_at("vm-3", "marousi", 0, fleet::member_state::suspect)});
     EXPECT_EQ(advice(view, "phone"), (std::vector<std::string>{"vm-2:80", "vm-3:80", "vm-1:80"}));
     EXPECT_EQ(value(locate(view, {"piraeus", "phone", "vm-1", now, 0})).key_prefix, "");
-    const locate_question later{"piraeus", "phone", "vm-1", now + seconds{120}, 0};
+    const locate_query later{"piraeus", "phone", "vm-1", now + seconds{120}, 0};
     EXPECT_EQ(value(locate(view, later)).addresses, (std::vector<std::string>{"vm-1:80"}));
 }
 
@@ -103,12 +103,12 @@
 
 // A stopping entry serves for the drain time after it left the advice. Advice kept longer than that would
 // lead callers to a closed port.
-TEST(advice_life, ends_before_a_stopping_entry_does)
+TEST(advice_ttl, ends_before_a_stopping_entry_does)
 {
-    EXPECT_EQ(advice_life(milliseconds{6000}), milliseconds{5000});
-    EXPECT_EQ(advice_life(milliseconds{60000}), milliseconds{5000});
-    EXPECT_EQ(advice_life(milliseconds{2000}), milliseconds{1000});
-    EXPECT_EQ(advice_life(milliseconds{500}), milliseconds{0});
+    EXPECT_EQ(advice_ttl(milliseconds{6000}), milliseconds{5000});
+    EXPECT_EQ(advice_ttl(milliseconds{60000}), milliseconds{5000});
+    EXPECT_EQ(advice_ttl(milliseconds{2000}), milliseconds{1000});
+    EXPECT_EQ(advice_ttl(milliseconds{500}), milliseconds{0});
 }
 
 } // namespace
