--- a/src/entry/attempt_outcome.cpp
+++ b/src/entry/attempt_outcome.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-policy::attempt_result ending_of(const error& failure)
+policy::attempt_result attempt_result_of(const error& failure)
 {
     switch (failure.code) {
     case error_code::draining:
@@ -44,7 +44,7 @@
 }
 
 // A refusal of the last attempt must not pass for "not run" when an earlier attempt may have run.
-run_state worse(run_state left, run_state right)
+run_state more_certain(run_state left, run_state right)
 {
     return certainty(left) < certainty(right) ? right : left;
 }
--- a/src/entry/attempt_outcome.hpp
+++ b/src/entry/attempt_outcome.hpp
@@ -7,13 +7,13 @@
 namespace vanillagauge::entry {
 
 /// How a failed attempt counts for its target.
-policy::attempt_result ending_of(const error& failure);
+policy::attempt_result attempt_result_of(const error& failure);
 
 /// Whether the target may have been lost to the request: the connection broke after the request was sent.
 bool looks_like_crash(const error& failure);
 
 /// The more certain to have run of two states, for a request with several attempts.
-run_state worse(run_state left, run_state right);
+run_state more_certain(run_state left, run_state right);
 
 } // namespace vanillagauge::entry
 
--- a/src/entry/plain_call.cpp
+++ b/src/entry/plain_call.cpp
@@ -6,12 +6,12 @@
 namespace vanillagauge::entry {
 namespace {
 
-constexpr int most_attempts = 3;
+constexpr int max_attempts = 3;
 
 /// Late and crossed answers: one that names another request, or whose body does not match its digest, never
 /// passes for this call's answer.
-result<v1::CallReply> checked(const result<target::v1::CallReply>& answer, const v1::CallRequest& request,
-                              const std::string& target_id)
+result<v1::CallReply> validate(const result<target::v1::CallReply>& answer, const v1::CallRequest& request,
+                               const std::string& target_id)
 {
     if (!ok(answer)) {
         return failure(answer);
@@ -23,12 +23,12 @@
     if (reply.digest() != digest(reply.body())) {
         return error{error_code::incomplete, run_state::ran, "the target's answer is not whole"};
     }
-    v1::CallReply whole;
-    whole.set_request_id(reply.request_id());
-    whole.set_body(reply.body());
-    whole.set_digest(reply.digest());
-    whole.set_target(target_id);
-    return whole;
+    v1::CallReply complete;
+    complete.set_request_id(reply.request_id());
+    complete.set_body(reply.body());
+    complete.set_digest(reply.digest());
+    complete.set_target(target_id);
+    return complete;
 }
 
 } // namespace
@@ -49,9 +49,9 @@
 
 void plain_call::start()
 {
-    const auto held = context_.directory.quarantine().check(fingerprint_);
-    if (!ok(held)) {
-        finish(failure(held));
+    const auto quarantine_check = context_.directory.quarantine().check(fingerprint_);
+    if (!ok(quarantine_check)) {
+        finish(failure(quarantine_check));
         return;
     }
     auto self = shared_from_this();
@@ -68,12 +68,12 @@
 void plain_call::launch(const node::target_group::endpoint& endpoint)
 {
     int number = 0;
-    bool overtaken = false;
+    bool already_finished = false;
     {
         const std::lock_guard lock(mutex_);
-        overtaken = finished_;
+        already_finished = finished_;
         number = ++attempts_;
-        if (!overtaken) {
+        if (!already_finished) {
             running_[number] = {endpoint.id, steady::now()};
         }
         if (group_->limited()) {
@@ -81,7 +81,7 @@
         }
         span_.note("placed", endpoint.id);
     }
-    if (overtaken) {
+    if (already_finished) {
         group_->release(endpoint.id);
         return;
     }
@@ -109,7 +109,7 @@
         found->second.cancel = std::move(cancel);
     }
     // A second run of a call that is not idempotent is what must never happen.
-    if (group_->limited() && request_.idempotent() && number < most_attempts) {
+    if (group_->limited() && request_.idempotent() && number < max_attempts) {
         arm_hedge(number);
     }
 }
@@ -140,10 +140,10 @@
         }
         span_.note("hedged", running_[number].target);
     }
-    launch_again();
+    retry();
 }
 
-bool plain_call::launch_again()
+bool plain_call::retry()
 {
     policy::work wanted;
     {
@@ -171,16 +171,16 @@
         ended = std::move(found.mapped());
         others_running = !running_.empty();
     }
-    auto outcome = checked(answer, request_, ended.target);
-    const auto kind = ok(outcome) ? policy::attempt_result::answered : ending_of(failure(outcome));
-    group_->release(ended.target, {kind, steady::now() - ended.began});
+    auto outcome = validate(answer, request_, ended.target);
+    const auto kind = ok(outcome) ? policy::attempt_result::answered : attempt_result_of(failure(outcome));
+    group_->release(ended.target, {kind, steady::now() - ended.started_at});
     if (ok(outcome)) {
         context_.directory.quarantine().on_answer(fingerprint_);
         finish(std::move(outcome));
         return;
     }
     if (looks_like_crash(failure(outcome))) {
-        context_.directory.quarantine().on_crash(fingerprint_, ended.target, ended.began);
+        context_.directory.quarantine().on_crash(fingerprint_, ended.target, ended.started_at);
     }
     on_failure(failure(outcome), others_running);
 }
@@ -190,23 +190,23 @@
     error last = failure;
     {
         const std::lock_guard lock(mutex_);
-        ran_ = worse(ran_, failure.ran);
+        ran_ = more_certain(ran_, failure.ran);
         last.ran = ran_;
         span_.note("attempt_failed", describe(failure));
     }
-    if (others_running || (may_try_again(failure) && launch_again())) {
+    if (others_running || (may_retry(failure) && retry())) {
         return;
     }
     finish(std::move(last));
 }
 
-bool plain_call::may_try_again(const error& failure)
+bool plain_call::may_retry(const error& failure)
 {
     const std::lock_guard lock(mutex_);
-    const bool attempts_left = attempts_ < most_attempts || !group_->limited();
+    const bool attempts_left = attempts_ < max_attempts || !group_->limited();
     const bool in_time = steady::now() < deadline_;
-    const bool held = !ok(context_.directory.quarantine().check(fingerprint_));
-    return attempts_left && in_time && !held && policy::retry_is_safe(failure, request_.idempotent());
+    const bool quarantined = !ok(context_.directory.quarantine().check(fingerprint_));
+    return attempts_left && in_time && !quarantined && policy::retry_is_safe(failure, request_.idempotent());
 }
 
 void plain_call::finish(result<v1::CallReply> outcome)
@@ -219,13 +219,13 @@
         span_.note("outcome", ok(outcome) ? "ok" : describe(failure(outcome)));
         span_.end();
     }
-    give_up_others();
+    cancel_others();
     on_done_(std::move(outcome));
 }
 
 // An attempt that was overtaken was later than nearly all answers: it counts as failed, so that a silent
 // connection's target is soon left alone.
-void plain_call::give_up_others()
+void plain_call::cancel_others()
 {
     std::map<int, attempt> others;
     int latest = 0;
@@ -236,7 +236,7 @@
     }
     for (auto& [number, other] : others) {
         const auto kind = number < latest ? policy::attempt_result::failed : policy::attempt_result::unknown;
-        group_->release(other.target, {kind, steady::now() - other.began});
+        group_->release(other.target, {kind, steady::now() - other.started_at});
         if (other.cancel) {
             other.cancel();
         }
--- a/src/entry/plain_call.hpp
+++ b/src/entry/plain_call.hpp
@@ -29,7 +29,7 @@
 private:
     struct attempt {
         std::string target;
-        time_point began;
+        time_point started_at;
         wire::call_cancel cancel{};
     };
 
@@ -51,12 +51,12 @@
     void launch(const node::target_group::endpoint& endpoint);
     void arm_hedge(int number);
     void hedge(int number);
-    bool launch_again();
+    bool retry();
     void on_answer(int number, const result<target::v1::CallReply>& answer);
     void on_failure(const error& failure, bool others_running);
-    bool may_try_again(const error& failure);
+    bool may_retry(const error& failure);
     void finish(result<v1::CallReply> outcome);
-    void give_up_others();
+    void cancel_others();
 };
 
 } // namespace vanillagauge::entry
--- a/src/entry/quarantine_exchange.cpp
+++ b/src/entry/quarantine_exchange.cpp
@@ -10,11 +10,11 @@
 
 /// A crash makes suspects of all requests in flight at the target; they go out in one message. A caller sends
 /// its request again after a second or so, so the news is ahead of it.
-constexpr milliseconds gather_time{50};
+constexpr milliseconds batch_delay{50};
 /// All entries of today; in a larger fleet each one passes on what is new to it, so the news reaches nearly
 /// all in a few rounds and then stops by itself.
-constexpr std::size_t most_told = 8;
-constexpr milliseconds tell_timeout{2000};
+constexpr std::size_t max_recipients = 8;
+constexpr milliseconds send_timeout{2000};
 
 std::vector<std::string> other_entries(const node::view& view, const entry_context& self)
 {
@@ -34,10 +34,10 @@
 {
     v1::ShareCrashesRequest message;
     for (const auto& record : records) {
-        auto* told = message.add_records();
-        told->set_fingerprint(record.fingerprint);
-        told->mutable_targets()->Add(record.targets.begin(), record.targets.end());
-        told->set_left_ms(record.remaining.count());
+        auto* item = message.add_records();
+        item->set_fingerprint(record.fingerprint);
+        item->mutable_targets()->Add(record.targets.begin(), record.targets.end());
+        item->set_left_ms(record.remaining.count());
     }
     return message;
 }
@@ -47,7 +47,7 @@
 quarantine_exchange::quarantine_exchange(const entry_context& context, node::channel_pool& peers)
     : context_(context), peers_(peers)
 {
-    context_.directory.quarantine().on_update([this] { plan(); });
+    context_.directory.quarantine().on_update([this] { schedule_send(); });
 }
 
 void quarantine_exchange::ShareCrashes(google::protobuf::RpcController* /*control*/,
@@ -55,37 +55,37 @@
                                        v1::ShareCrashesReply* /*reply*/, google::protobuf::Closure* done)
 {
     std::vector<policy::crash_record> records;
-    for (const auto& told : request->records()) {
-        records.push_back({told.fingerprint(),
-                           {told.targets().begin(), told.targets().end()},
-                           std::max(milliseconds{0}, milliseconds{told.left_ms()})});
+    for (const auto& item : request->records()) {
+        records.push_back({item.fingerprint(),
+                           {item.targets().begin(), item.targets().end()},
+                           std::max(milliseconds{0}, milliseconds{item.left_ms()})});
     }
     context_.directory.quarantine().merge(records);
     done->Run();
 }
 
-void quarantine_exchange::plan()
+void quarantine_exchange::schedule_send()
 {
-    const auto known = context_.directory.quarantine().records().size();
-    context_.metrics.set("vg_entry_crash_records", static_cast<double>(known));
-    if (planned_.exchange(true)) {
+    const auto count = context_.directory.quarantine().records().size();
+    context_.metrics.set("vg_entry_crash_records", static_cast<double>(count));
+    if (send_scheduled_.exchange(true)) {
         return;
     }
-    context_.loop.after(gather_time, [this] {
-        planned_ = false;
-        tell();
+    context_.loop.after(batch_delay, [this] {
+        send_scheduled_ = false;
+        send();
     });
 }
 
-void quarantine_exchange::tell()
+void quarantine_exchange::send()
 {
     thread_local std::mt19937_64 random{std::random_device{}()};
     auto others = other_entries(*context_.keeper.current(), context_);
     std::shuffle(others.begin(), others.end(), random);
-    others.resize(std::min(others.size(), most_told));
+    others.resize(std::min(others.size(), max_recipients));
     const auto message = message_of(context_.directory.quarantine().records());
     wire::call_options options;
-    options.timeout = tell_timeout;
+    options.timeout = send_timeout;
     options.token = context_.settings.tokens.peer;
     for (const auto& address : others) {
         wire::call<v1::ShareCrashesReply>(*peers_.at(address), wire::method<v1::EntryPeer>("ShareCrashes"),
--- a/src/entry/quarantine_exchange.hpp
+++ b/src/entry/quarantine_exchange.hpp
@@ -19,10 +19,10 @@
 private:
     entry_context context_;
     node::channel_pool& peers_;
-    std::atomic<bool> planned_{false};
+    std::atomic<bool> send_scheduled_{false};
 
-    void plan();
-    void tell();
+    void schedule_send();
+    void send();
 };
 
 } // namespace vanillagauge::entry
--- a/src/entry/streamed_generate.cpp
+++ b/src/entry/streamed_generate.cpp
@@ -6,7 +6,7 @@
 namespace vanillagauge::entry {
 namespace {
 
-constexpr int most_attempts = 3;
+constexpr int max_attempts = 3;
 constexpr milliseconds progress_timeout{2000};
 /// What engines cache is shared by prompts that begin alike; the rest of a prompt is its own.
 constexpr std::size_t prefix_length = 64;
@@ -24,7 +24,7 @@
                                      v1::GenerateRequest request, time_point deadline,
                                      const observe::trace_context& trace, on_chunk chunk, completion on_done)
     : context_(context), group_(std::move(group)), request_(std::move(request)), deadline_(deadline),
-      span_(trace, "entry.generate"), chunk_(std::move(chunk)), on_done_(std::move(on_done)),
+      span_(trace, "entry.generate"), on_chunk_(std::move(chunk)), on_done_(std::move(on_done)),
       fingerprint_(policy::request_fingerprint(request_.deployment(), request_.adapter(), request_.prompt()))
 {
     span_.note("request_id", request_.request_id());
@@ -37,9 +37,9 @@
 
 void streamed_generate::start()
 {
-    const auto held = context_.directory.quarantine().check(fingerprint_);
-    if (!ok(held)) {
-        finish(failure(held));
+    const auto quarantine_check = context_.directory.quarantine().check(fingerprint_);
+    if (!ok(quarantine_check)) {
+        finish(failure(quarantine_check));
         return;
     }
     auto self = shared_from_this();
@@ -56,7 +56,7 @@
 void streamed_generate::launch(const node::target_group::endpoint& endpoint)
 {
     ++attempts_;
-    began_ = steady::now();
+    started_at_ = steady::now();
     first_chunk_ = {};
     work_.tried.insert(endpoint.id);
     span_.note("placed", endpoint.id);
@@ -71,14 +71,14 @@
     forward.set_resume_tokens(tokens_);
     next_sequence_ = 0;
     wire::call_options options;
-    options.timeout = std::max(milliseconds{1}, remaining(began_, deadline_));
+    options.timeout = std::max(milliseconds{1}, remaining(started_at_, deadline_));
     options.progress_timeout = progress_timeout;
     options.trace = span_.context();
     options.fresh_connection = attempts_ > 1; // others of the pool may be broken too
     auto self = shared_from_this();
     auto cancel = wire::stream<target::v1::GenerateChunk>(
         *context_.targets.at(endpoint.address), wire::method<target::v1::Engine>("Generate"), forward,
-        options, [self](const target::v1::GenerateChunk& chunk) { self->take(chunk); },
+        options, [self](const target::v1::GenerateChunk& chunk) { self->receive(chunk); },
         [self, id = endpoint.id](const result<done>& outcome) { self->on_end(id, outcome); });
     const std::lock_guard lock(mutex_);
     cancel_ = std::move(cancel);
@@ -89,7 +89,7 @@
 // engine to stop.
 void streamed_generate::stop_engine()
 {
-    caller_gone_ = true;
+    caller_disconnected_ = true;
     wire::call_cancel cancel;
     {
         const std::lock_guard lock(mutex_);
@@ -100,34 +100,34 @@
     }
 }
 
-void streamed_generate::take(const target::v1::GenerateChunk& chunk)
+void streamed_generate::receive(const target::v1::GenerateChunk& chunk)
 {
-    if (crossed_ || whole_ || caller_gone_) {
+    if (mismatched_ || complete_ || caller_disconnected_) {
         return;
     }
     if (first_chunk_ == duration::zero()) {
-        first_chunk_ = steady::now() - began_;
+        first_chunk_ = steady::now() - started_at_;
     }
     if (chunk.request_id() != request_.request_id() || chunk.sequence() != next_sequence_) {
-        crossed_ = true;
+        mismatched_ = true;
         return;
     }
     ++next_sequence_;
     text_ += chunk.text();
     tokens_ += chunk.tokens();
-    whole_ = chunk.done() && chunk.total_tokens() == tokens_;
-    crossed_ = chunk.done() && !whole_;
+    complete_ = chunk.done() && chunk.total_tokens() == tokens_;
+    mismatched_ = chunk.done() && !complete_;
     v1::GenerateChunk out;
     out.set_request_id(chunk.request_id());
     out.set_text(chunk.text());
     out.set_tokens(chunk.tokens());
     out.set_version(chunk.version());
-    if (whole_) {
+    if (complete_) {
         out.set_done(true);
         out.set_total_tokens(tokens_);
         out.set_digest(digest(text_));
     }
-    if (!crossed_ && !chunk_(out) && !whole_) {
+    if (!mismatched_ && !on_chunk_(out) && !complete_) {
         stop_engine();
     }
 }
@@ -138,49 +138,51 @@
     const bool begun = first_chunk_ != duration::zero();
     const bool timed_out_begun =
         begun && !ok(outcome) && failure(outcome).code == error_code::deadline_exceeded;
-    const bool good = whole_ || timed_out_begun;
-    const auto kind = good ? policy::attempt_result::answered
-                           : (ok(outcome) ? policy::attempt_result::failed : ending_of(failure(outcome)));
+    const bool good = complete_ || timed_out_begun;
+    const auto kind =
+        good ? policy::attempt_result::answered
+             : (ok(outcome) ? policy::attempt_result::failed : attempt_result_of(failure(outcome)));
     group_->release(target, {kind, first_chunk_});
-    if (whole_) {
+    if (complete_) {
         context_.directory.quarantine().on_answer(fingerprint_);
     }
     else if (!ok(outcome) && looks_like_crash(failure(outcome))) {
-        context_.directory.quarantine().on_crash(fingerprint_, target, began_);
+        context_.directory.quarantine().on_crash(fingerprint_, target, started_at_);
     }
 }
 
 void streamed_generate::on_end(const std::string& target, const result<done>& outcome)
 {
     report(target, outcome);
-    if (whole_) {
+    if (complete_) {
         finish(done{});
         return;
     }
-    if (caller_gone_) {
+    if (caller_disconnected_) {
         finish(error{error_code::cancelled, run_state::ran, "the caller has gone"});
         return;
     }
-    if (crossed_) {
+    if (mismatched_) {
         finish(error{error_code::incomplete, run_state::ran, "the engine's stream is not whole"});
         return;
     }
-    auto seen = ok(outcome) ? error{error_code::incomplete, run_state::ran, "the engine's stream ended early"}
-                            : failure(outcome);
-    ran_ = worse(ran_, tokens_ > 0 ? run_state::ran : seen.ran);
-    if (launch_again(seen)) {
+    auto last_error = ok(outcome)
+                          ? error{error_code::incomplete, run_state::ran, "the engine's stream ended early"}
+                          : failure(outcome);
+    ran_ = more_certain(ran_, tokens_ > 0 ? run_state::ran : last_error.ran);
+    if (retry(last_error)) {
         return;
     }
-    seen.ran = ran_;
-    finish(seen);
+    last_error.ran = ran_;
+    finish(last_error);
 }
 
 // A generation has no effect outside its answer, so it may always go on elsewhere.
-bool streamed_generate::launch_again(const error& failure)
+bool streamed_generate::retry(const error& failure)
 {
-    const bool held = !ok(context_.directory.quarantine().check(fingerprint_));
+    const bool quarantined = !ok(context_.directory.quarantine().check(fingerprint_));
     const bool in_time = steady::now() < deadline_;
-    if (held || !in_time || attempts_ >= most_attempts || !policy::retry_is_safe(failure, true)) {
+    if (quarantined || !in_time || attempts_ >= max_attempts || !policy::retry_is_safe(failure, true)) {
         return false;
     }
     const auto endpoint = group_->retry(work_);
--- a/src/entry/streamed_generate.hpp
+++ b/src/entry/streamed_generate.hpp
@@ -31,28 +31,28 @@
     v1::GenerateRequest request_;
     time_point deadline_;
     observe::span span_;
-    on_chunk chunk_;
+    on_chunk on_chunk_;
     completion on_done_;
     policy::work work_;
     std::uint64_t fingerprint_;
-    time_point began_;       ///< of the present attempt
+    time_point started_at_;  ///< of the present attempt
     duration first_chunk_{}; ///< of the present attempt; zero: none yet
     run_state ran_ = run_state::not_run;
     int attempts_ = 0;
     std::string text_;
     int tokens_ = 0;
     int next_sequence_ = 0;
-    bool whole_ = false;
-    bool crossed_ = false;
+    bool complete_ = false;
+    bool mismatched_ = false;
     std::mutex mutex_;
     wire::call_cancel cancel_; ///< of the present attempt
-    bool caller_gone_ = false;
+    bool caller_disconnected_ = false;
 
     void launch(const node::target_group::endpoint& endpoint);
-    void take(const target::v1::GenerateChunk& chunk);
+    void receive(const target::v1::GenerateChunk& chunk);
     void on_end(const std::string& target, const result<done>& outcome);
     void report(const std::string& target, const result<done>& outcome);
-    bool launch_again(const error& failure);
+    bool retry(const error& failure);
     void stop_engine();
     void finish(const result<done>& outcome);
 };
--- a/tests/entry/plain_call_tests.cpp
+++ b/tests/entry/plain_call_tests.cpp
@@ -36,7 +36,7 @@
     void Call(google::protobuf::RpcController* control, const target::v1::CallRequest* request,
               target::v1::CallReply* reply, google::protobuf::Closure* done) override
     {
-        ++asked_;
+        ++call_count_;
         if (mode_ == behaviour::silent) {
             const std::lock_guard lock(mutex_);
             silent_.push_back(done);
@@ -55,11 +55,11 @@
     }
 
     const std::string& address() const { return address_; }
-    int asked() const { return asked_; }
+    int call_count() const { return call_count_; }
 
 private:
     const behaviour mode_;
-    std::atomic<int> asked_{0};
+    std::atomic<int> call_count_{0};
     std::mutex mutex_;
     std::vector<google::protobuf::Closure*> silent_;
     wire::dispatcher calls_{wire::access_table{}};
@@ -68,7 +68,7 @@
 };
 
 /// An entry's parts before scripted targets. The first target is in the entry's domain, so it is asked first.
-struct front {
+struct entry_fixture {
     config::settings settings;
     std::list<scripted_target> targets;
     wire::event_loop loop;
@@ -77,7 +77,7 @@
     node::channel_pool channels = node::http_channels(loop);
     node::target_directory directory{loop, {}};
 
-    explicit front(std::initializer_list<behaviour> modes)
+    explicit entry_fixture(std::initializer_list<behaviour> modes)
     {
         settings.failure_domain = "near";
         settings.keeper.address = "127.0.0.1:1";
@@ -94,7 +94,7 @@
         directory.update(view);
     }
 
-    ~front() { loop.stop(); }
+    ~entry_fixture() { loop.stop(); }
 
     result<v1::CallReply> call(bool idempotent, milliseconds deadline)
     {
@@ -116,7 +116,7 @@
 // the answer is later than usual another target is asked, long before the deadline.
 TEST(plain_call, an_idempotent_call_goes_on_elsewhere_when_its_target_is_silent)
 {
-    front entry({behaviour::silent, behaviour::answers});
+    entry_fixture entry({behaviour::silent, behaviour::answers});
     const auto reply = entry.call(true, seconds{60});
     ASSERT_TRUE(ok(reply)) << describe(failure(reply));
     EXPECT_EQ(value(reply).target(), "t2");
@@ -126,36 +126,36 @@
 // The caller learns that it is in doubt.
 TEST(plain_call, a_call_that_is_not_idempotent_is_never_sent_twice)
 {
-    front entry({behaviour::silent, behaviour::answers});
+    entry_fixture entry({behaviour::silent, behaviour::answers});
     const auto reply = entry.call(false, milliseconds{1500});
     ASSERT_FALSE(ok(reply));
     EXPECT_EQ(failure(reply).ran, run_state::in_doubt);
-    EXPECT_EQ(entry.targets.front().asked(), 1);
-    EXPECT_EQ(entry.targets.back().asked(), 0);
+    EXPECT_EQ(entry.targets.front().call_count(), 1);
+    EXPECT_EQ(entry.targets.back().call_count(), 0);
 }
 
 TEST(plain_call, a_call_that_is_not_idempotent_goes_on_where_it_was_refused_as_not_run)
 {
-    front entry({behaviour::refuses, behaviour::answers});
+    entry_fixture entry({behaviour::refuses, behaviour::answers});
     const auto reply = entry.call(false, seconds{60});
     ASSERT_TRUE(ok(reply)) << describe(failure(reply));
-    EXPECT_EQ(entry.targets.back().asked(), 1);
+    EXPECT_EQ(entry.targets.back().call_count(), 1);
 }
 
 // The first target ran the call and lost its reply; the second refuses it as not run. To the caller the call
 // is in doubt: the refusal is of the second attempt alone.
 TEST(plain_call, a_refused_retry_does_not_hide_that_the_first_attempt_may_have_run)
 {
-    front entry({behaviour::fails, behaviour::refuses});
+    entry_fixture entry({behaviour::fails, behaviour::refuses});
     const auto reply = entry.call(true, seconds{60});
     ASSERT_FALSE(ok(reply));
     EXPECT_EQ(failure(reply).ran, run_state::in_doubt);
-    EXPECT_EQ(entry.targets.back().asked(), 1);
+    EXPECT_EQ(entry.targets.back().call_count(), 1);
 }
 
 TEST(plain_call, refused_by_every_target_it_is_not_run)
 {
-    front entry({behaviour::refuses, behaviour::refuses});
+    entry_fixture entry({behaviour::refuses, behaviour::refuses});
     const auto reply = entry.call(true, seconds{60});
     ASSERT_FALSE(ok(reply));
     EXPECT_EQ(failure(reply).ran, run_state::not_run);
