--- a/src/entry/attempt_outcome.cpp
+++ b/src/entry/attempt_outcome.cpp
@@ -34,7 +34,7 @@
     case error_code::cancelled:
         return policy::attempt_result::unknown;
     default:
-        return policy::attempt_result::answered; // the target answered: the request was at fault
+        return policy::attempt_result::answered; // the target is healthy: it rejected the request
     }
 }
 
@@ -43,7 +43,7 @@
     return failure.code == error_code::unavailable && failure.ran == run_state::in_doubt;
 }
 
-// A refusal of the last attempt must not pass for "not run" when an earlier attempt may have run.
+// A last attempt refused as not_run must not hide that an earlier attempt may have run.
 run_state more_certain(run_state left, run_state right)
 {
     return certainty(left) < certainty(right) ? right : left;
--- a/src/entry/attempt_outcome.hpp
+++ b/src/entry/attempt_outcome.hpp
@@ -1,4 +1,4 @@
-/// What an attempt at a target says of the target and of the request.
+/// Classifies the result of an attempt at a target.
 #ifndef VANILLAGAUGE_ENTRY_ATTEMPT_OUTCOME_HPP
 #define VANILLAGAUGE_ENTRY_ATTEMPT_OUTCOME_HPP
 
@@ -6,13 +6,13 @@
 
 namespace vanillagauge::entry {
 
-/// How a failed attempt counts for its target.
+/// The result as which a failed attempt is reported for its target.
 policy::attempt_result attempt_result_of(const error& failure);
 
-/// Whether the target may have been lost to the request: the connection broke after the request was sent.
+/// Whether the request may have crashed the target: the connection broke after the request was sent.
 bool looks_like_crash(const error& failure);
 
-/// The more certain to have run of two states, for a request with several attempts.
+/// The state that is more certain to have run, for a request with several attempts.
 run_state more_certain(run_state left, run_state right);
 
 } // namespace vanillagauge::entry
--- a/src/entry/claim_calls.cpp
+++ b/src/entry/claim_calls.cpp
@@ -6,17 +6,17 @@
 namespace vanillagauge::entry {
 namespace {
 
-/// A record is one message to a nearby process; a caller must not wait longer for a backup that is lost.
+/// A record is one message to a nearby process; bounds the caller's wait for a lost backup.
 constexpr milliseconds record_timeout{1000};
-/// The first record on a connection that the backup's restart has broken is lost with it.
+/// The first record sent over a connection that a restart of the backup broke is lost.
 constexpr int max_record_attempts = 2;
 constexpr milliseconds close_timeout{1500};
 constexpr milliseconds settled_timeout{2000};
-/// The other side's answer has to travel back before the caller's deadline.
+/// Reserved for the peer's answer to travel back before the caller's deadline.
 constexpr milliseconds reply_margin{30};
-/// Of the time left, while the backup is still to be asked after the primary.
+/// Fraction of the time left that the primary may take while the backup is still to be asked.
 constexpr double primary_share = 0.6;
-/// A flood fills at most this much; see docs/design/claims.md.
+/// Bounds memory under a flood of calls; see docs/design/claims.md.
 constexpr claims::memory_limits shard_limits{
     .keys = 8192, .keys_per_pair = 6144, .answer_bytes = 512U << 10U, .max_answer_bytes = 16U << 10U};
 
@@ -96,7 +96,7 @@
     }
 }
 
-// ---- The primary's side ----
+// ---- Primary ----
 
 void claim_calls::call_as_primary(const pending_call_ptr& call)
 {
@@ -233,9 +233,9 @@
     waiter.on_done(to_answer(action.answer, waiter.request.request_id()));
 }
 
-/// The backup closed the pair while this process was paused or cut off, so every further key under it would
-/// be refused. Under another incarnation number Locate mints keys of new pairs; the older numbers stay known,
-/// since this process's memory covers them.
+/// The backup closed the pair while this process was paused or partitioned, so it refuses every further key
+/// of the pair. With a new incarnation number Locate mints keys of new pairs; the earlier numbers stay valid,
+/// since this process still holds their records.
 void claim_calls::renew_incarnation()
 {
     std::uint64_t number = 0;
@@ -249,7 +249,7 @@
     context_.keeper.announce([number](fleet::process& self) { self.incarnation = number; });
 }
 
-// ---- The backup's side ----
+// ---- Backup ----
 
 void claim_calls::call_as_backup(const pending_call_ptr& call)
 {
@@ -343,7 +343,7 @@
     return reply;
 }
 
-// ---- Asking the others ----
+// ---- Requests to peers ----
 
 void claim_calls::forward_to_primary(const pending_call_ptr& call, milliseconds timeout,
                                      std::function<void()> fallback)
@@ -358,8 +358,8 @@
                           call->on_done(from_verdict(value(reply), call->request));
                           return;
                       }
-                      // The call may be running at a primary that is slow: closing its pair would end every
-                      // other call under it, so the deadline alone is no reason for a takeover.
+                      // The call may be running at a slow primary: closing the pair would fail its other
+                      // calls, so a missed deadline alone does not justify a takeover.
                       if (!ok(reply) && failure(reply).code == error_code::deadline_exceeded &&
                           time_left(call->deadline) <= reply_margin) {
                           call->on_done(claims::refusal_error(claims::refusal::deadline_exceeded));
@@ -379,8 +379,8 @@
                   });
 }
 
-/// This VM's primary of the key was an earlier run, which may have dispatched it: only the backup can tell,
-/// and only once it has closed the pair.
+/// The key's primary was an earlier incarnation on this VM, which may have dispatched the call: only the
+/// backup can decide, and only after it has closed the pair.
 void claim_calls::request_close(const pending_call_ptr& call)
 {
     v1::ClaimPairRequest request;
--- a/src/entry/claim_calls.hpp
+++ b/src/entry/claim_calls.hpp
@@ -1,4 +1,4 @@
-/// Calls that are not idempotent: the claim pairs of this process, run over its peers and targets.
+/// Runs non-idempotent calls at most once, through the claim pairs of this process and its peers.
 #ifndef VANILLAGAUGE_ENTRY_CLAIM_CALLS_HPP
 #define VANILLAGAUGE_ENTRY_CLAIM_CALLS_HPP
 
@@ -15,10 +15,10 @@
 
 namespace vanillagauge::entry {
 
-/// How a claimed call reaches a target.
+/// Runs claimed calls at targets.
 struct claim_runner {
     using completion = std::function<void(result<v1::CallReply>)>;
-    /// The error for a request that no target can serve.
+    /// The error for a request that no target can serve; empty if one can.
     std::function<std::optional<error>(const v1::CallRequest&)> refusal;
     /// Runs the call at most once.
     std::function<void(const v1::CallRequest&, time_point deadline, const observe::trace_context&,
@@ -26,7 +26,7 @@
         run;
 };
 
-/// What the claimed calls of a process share; all outlive them.
+/// Shared by the claimed calls of a process; the referenced objects must outlive them.
 struct claim_context {
     std::string vm;
     wire::event_loop& loop;
@@ -43,20 +43,21 @@
 
     claim_calls(claim_context context, claim_runner runner);
 
-    // Commands.
-    /// A call from a caller, or forwarded by another entry process. `on_done` runs once, by the deadline.
+    /// Handles a call from a caller or forwarded by another entry process. `on_done` runs once, by the
+    /// deadline.
     void call(const v1::CallRequest& request, time_point deadline, const observe::trace_context& trace,
               completion on_done);
     v1::ClaimReply record(const v1::ClaimRequest& request);
     v1::ClaimPairReply close(const v1::ClaimPairRequest& request);
     v1::ClaimTransferReply transfer(const v1::ClaimTransfer& request);
-    /// A planned stop: no new key from now on, then the memory goes to the backups once nothing is in flight.
+    /// For a planned stop: accepts no new keys, waits for calls in flight, then sends the settled records to
+    /// the backups. Blocks.
     void hand_over();
-    /// Frees expired keys from time to time.
+    /// Frees expired keys periodically.
     void start_expiry();
 
 private:
-    /// One request that waits at its primary for the key's outcome.
+    /// A request that waits at the primary for the outcome of its key.
     struct waiting_call {
         v1::CallRequest request;
         time_point deadline;
--- a/src/entry/claim_hand_over.cpp
+++ b/src/entry/claim_hand_over.cpp
@@ -1,4 +1,4 @@
-// The planned stop of a primary, and the slow clock that frees memory.
+// Hand-over of a primary's records at a planned stop, and periodic expiry of keys.
 
 #include "entry/claim_calls.hpp"
 #include "entry/claim_wire.hpp"
@@ -13,7 +13,7 @@
 constexpr std::size_t records_per_transfer = 256;
 constexpr milliseconds transfer_timeout{2000};
 constexpr milliseconds settle_poll_interval{20};
-/// Calls in flight end by their own deadlines; this only bounds a deadline that a caller set very late.
+/// Calls in flight end by their own deadlines; this bounds the wait for a caller's far deadline.
 constexpr milliseconds max_settle_time{30000};
 constexpr milliseconds expiry_interval{2000};
 
--- a/src/entry/claim_link.cpp
+++ b/src/entry/claim_link.cpp
@@ -5,7 +5,7 @@
 namespace vanillagauge::entry {
 namespace {
 
-/// Empty where the VM has no living entry process. A draining one still serves its pairs.
+/// Empty where the VM has no live entry process. A draining process still serves its pairs.
 std::string entry_address(const node::view& view, const std::string& vm)
 {
     for (const auto& member : view.nodes) {
--- a/src/entry/claim_link.hpp
+++ b/src/entry/claim_link.hpp
@@ -11,14 +11,13 @@
 
 namespace vanillagauge::entry {
 
-/// The time a call may take, and the trace that it belongs to (empty: none).
 struct peer_call_options {
     milliseconds timeout{0};
-    observe::trace_context trace{};
+    observe::trace_context trace{}; ///< empty: not traced
 };
 
-/// Each completion runs exactly once, within the time given; `unavailable` and `not_run` at once where the
-/// VM's entry process is not known to be alive.
+/// Each completion runs exactly once, within the timeout; at once with `unavailable` and `not_run` where no
+/// live entry process of the VM is known.
 class claim_link {
 public:
     claim_link(node::keeper_link& keeper, node::channel_pool& peers, std::string token)
--- a/src/entry/claim_peer_service.hpp
+++ b/src/entry/claim_peer_service.hpp
@@ -1,4 +1,4 @@
-/// What entry processes ask of each other about claim pairs.
+/// The service that entry processes call on each other for claim pairs.
 #ifndef VANILLAGAUGE_ENTRY_CLAIM_PEER_SERVICE_HPP
 #define VANILLAGAUGE_ENTRY_CLAIM_PEER_SERVICE_HPP
 
--- a/src/entry/claim_run_guard.cpp
+++ b/src/entry/claim_run_guard.cpp
@@ -5,7 +5,7 @@
 namespace vanillagauge::entry {
 namespace {
 
-/// Whether the call may have reached a target; shared by the channels of one call.
+/// Permits one attempt at a time, and none after one that may have run; shared by the channels of a call.
 class run_permit {
 public:
     bool acquire()
@@ -25,10 +25,10 @@
     bool acquired_ = false;
 };
 
-/// Two things would run a call twice behind the claim protocol's back. The HTTP client sends a request once
-/// more by itself when a pooled connection is closed before an answer, though the target may have run it; a
-/// fresh connection is never pooled, so it has no such repeat. And a driver that retries or hedges for
-/// latency would start a second attempt; here it gets no channel while the first may have run.
+/// Prevents two ways to run a call twice that the claim protocol does not see. The HTTP client resends a
+/// request when a pooled connection closes before the answer, though the target may have run it; it never
+/// resends on a fresh connection. A driver that retries or hedges would start a second attempt; that is
+/// refused while the first may have run.
 class guarded_channel final : public wire::channel {
 public:
     guarded_channel(std::shared_ptr<wire::channel> inner, std::shared_ptr<run_permit> permit)
--- a/src/entry/claim_store.hpp
+++ b/src/entry/claim_store.hpp
@@ -1,4 +1,4 @@
-/// The memory of this process's claim pairs, in shards that each have their own lock.
+/// The claim records of this process, in shards with a lock each.
 #ifndef VANILLAGAUGE_ENTRY_CLAIM_STORE_HPP
 #define VANILLAGAUGE_ENTRY_CLAIM_STORE_HPP
 
@@ -10,14 +10,14 @@
 
 namespace vanillagauge::entry {
 
-/// All keys of one pair lie in one shard, chosen by the other process's VM: closing a pair must be one step.
+/// All keys of a pair are in one shard, chosen by the peer's VM, so that closing a pair is atomic.
 class claim_store {
 public:
     static constexpr std::size_t shard_count = 4;
 
     explicit claim_store(claims::memory_limits limits_per_shard);
 
-    /// Runs `use` with the shard's primary side, locked.
+    /// Runs `use` on the shard's primary under the shard's lock.
     template <class Use>
     auto with_primary(const claims::claim_pair& pair, Use use)
     {
@@ -26,7 +26,7 @@
         return use(part.primary);
     }
 
-    /// Runs `use` with the shard's backup side, locked.
+    /// Runs `use` on the shard's backup under the shard's lock.
     template <class Use>
     auto with_backup(const claims::claim_pair& pair, Use use)
     {
--- a/src/entry/claim_target.cpp
+++ b/src/entry/claim_target.cpp
@@ -11,13 +11,13 @@
 {
     const auto group = context.directory.find(request.deployment());
     if (!group) {
-        on_done(error{error_code::not_found, run_state::not_run, "the deployment is gone"});
+        on_done(error{error_code::not_found, run_state::not_run, "the deployment has been removed"});
         return;
     }
     const auto guarded = guarded_channels(context.targets);
     const entry_context once{context.settings,  context.loop,    context.keeper,     *guarded,
                              context.directory, context.metrics, context.incarnation};
-    // The completion keeps the channels alive as long as the call that uses them.
+    // The completion keeps the channels alive until the call has ended.
     auto finish = [guarded, on_done = std::move(on_done)](result<v1::CallReply> outcome) {
         on_done(std::move(outcome));
     };
--- a/src/entry/claim_target.hpp
+++ b/src/entry/claim_target.hpp
@@ -1,4 +1,4 @@
-/// The way of claimed calls to their targets.
+/// Runs claimed calls at their targets.
 #ifndef VANILLAGAUGE_ENTRY_CLAIM_TARGET_HPP
 #define VANILLAGAUGE_ENTRY_CLAIM_TARGET_HPP
 
@@ -7,7 +7,7 @@
 
 namespace vanillagauge::entry {
 
-/// Admission and placement as for any call, behind a guard that lets one attempt reach a target.
+/// Admits and places calls as usual; a guard lets at most one attempt reach a target.
 claim_runner run_at_targets(const entry_context& context);
 
 } // namespace vanillagauge::entry
--- a/src/entry/claim_wire.cpp
+++ b/src/entry/claim_wire.cpp
@@ -38,7 +38,7 @@
     }
     v1::CallReply reply;
     if (!reply.ParseFromString(value(verdict.answer))) {
-        return error{error_code::incomplete, run_state::ran, "the remembered answer cannot be read"};
+        return error{error_code::incomplete, run_state::ran, "the stored answer cannot be parsed"};
     }
     reply.set_request_id(request_id);
     reply.set_repeated(verdict.repeated);
@@ -62,7 +62,7 @@
 result<v1::CallReply> from_verdict(const v1::ClaimVerdict& verdict, const v1::CallRequest& request)
 {
     if (verdict.key() != request.key()) {
-        return invalid_reply("the peer answered for another key");
+        return invalid_reply("the peer's answer is for another key");
     }
     if (!verdict.decided()) {
         return claims::refusal_error(claims::refusal::pair_unavailable);
@@ -71,10 +71,10 @@
         return wire::from_message(verdict.error());
     }
     if (verdict.reply().request_id() != request.request_id()) {
-        return invalid_reply("the peer answered another request");
+        return invalid_reply("the peer's answer is for another request");
     }
     if (verdict.reply().digest() != digest(verdict.reply().body())) {
-        return invalid_reply("the peer's answer is not whole");
+        return invalid_reply("the peer's answer does not match its digest");
     }
     return verdict.reply();
 }
@@ -146,7 +146,7 @@
     const char* last = text.data() + text.size();
     const auto [end, broken] = std::from_chars(text.data(), last, number, hexadecimal);
     if (broken != std::errc{} || end != last) {
-        return error{error_code::invalid_argument, run_state::not_run, "expected a fingerprint"};
+        return error{error_code::invalid_argument, run_state::not_run, "expected a hexadecimal fingerprint"};
     }
     return number;
 }
--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -85,7 +85,7 @@
     };
     const auto group = context_.directory.find(request->deployment());
     const auto deadline = start + deadline_of(request->deadline_ms(), group.get());
-    // Only the key's pair can refuse such a call: this process may not know that the key has run already.
+    // Only the key's pair may refuse such a call: this process may not know that it has run already.
     if (!request->idempotent()) {
         claims_.call(*request, deadline, call.call().trace, finish);
         return;
--- a/src/entry/entry_service.hpp
+++ b/src/entry/entry_service.hpp
@@ -1,4 +1,4 @@
-/// The callers' service: Locate, Call and Generate.
+/// The service for callers: Locate, Call and Generate.
 #ifndef VANILLAGAUGE_ENTRY_ENTRY_SERVICE_HPP
 #define VANILLAGAUGE_ENTRY_ENTRY_SERVICE_HPP
 
@@ -13,7 +13,7 @@
 
 class claim_calls;
 
-/// What the service's calls share; all outlive it.
+/// Shared by the calls of the service; the referenced objects must outlive it.
 struct entry_context {
     const config::settings& settings;
     wire::event_loop& loop;
@@ -24,13 +24,13 @@
     std::uint64_t incarnation = 0;
 };
 
-/// The error for a deployment that is unknown or of another kind.
+/// `not_found` for an unknown deployment, `invalid_argument` for one of another kind; otherwise empty.
 std::optional<error> refusal_for(const node::target_directory& directory, const std::string& deployment,
                                  config::target_kind expected);
 
 class entry_service final : public v1::Entry {
 public:
-    /// `claims` takes the calls that are not idempotent.
+    /// `claims` handles calls that are not idempotent.
     entry_service(entry_context context, claim_calls& claims) : context_(context), claims_(claims) {}
 
     void Locate(google::protobuf::RpcController* control, const v1::LocateRequest* request,
--- a/src/entry/load_announcer.cpp
+++ b/src/entry/load_announcer.cpp
@@ -6,16 +6,16 @@
 namespace vanillagauge::entry {
 namespace {
 
-/// Callers keep their advice for five seconds, so faster news would not move them.
+/// Callers keep advice for up to five seconds, so faster updates would have no effect.
 constexpr milliseconds interval{2000};
 constexpr double smoothing = 0.3;
-/// Below this many requests entries count as equally idle.
+/// Entries with fewer requests count as equally idle.
 constexpr double idle_requests = 8;
 
 } // namespace
 
-// Each change of what a VM says of itself spreads to every VM. Steps of a factor of two of a smoothed load
-// make such changes rare, and keep callers from moving to and fro for small differences.
+// Each announcement is gossiped to every VM. Doubling steps of a smoothed load keep announcements rare and
+// keep callers from switching entries over small differences.
 double load_step(double requests)
 {
     return std::floor(std::log2(std::max(1.0, requests / idle_requests)));
--- a/src/entry/load_announcer.hpp
+++ b/src/entry/load_announcer.hpp
@@ -1,4 +1,4 @@
-/// Tells the other VMs, through the keeper, how loaded this entry is.
+/// Announces the load of this entry process to the other VMs through the keeper.
 #ifndef VANILLAGAUGE_ENTRY_LOAD_ANNOUNCER_HPP
 #define VANILLAGAUGE_ENTRY_LOAD_ANNOUNCER_HPP
 
@@ -6,15 +6,15 @@
 
 namespace vanillagauge::entry {
 
-/// A coarse step that grows by one with each doubling of the requests held.
+/// A coarse load level: grows by one with each doubling of the outstanding requests.
 double load_step(double requests);
 
 class load_announcer {
 public:
-    /// All that the context names outlives it.
+    /// The objects that the context references must outlive it.
     explicit load_announcer(const entry_context& context) : context_(context) {}
 
-    /// Announces from now on, until the loop stops.
+    /// Announces load changes periodically, until the loop stops.
     void start();
 
 private:
--- a/src/entry/locate.cpp
+++ b/src/entry/locate.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t max_addresses = 4;
 constexpr milliseconds max_advice_ttl{5000};
-/// Until every entry knows that another stops: at 350 nodes the news takes up to 0.9 s
+/// Until every entry has learnt that another is stopping: gossip among 350 nodes takes up to 0.9 s
 /// (docs/measurements.md).
 constexpr milliseconds propagation_time{1000};
 
@@ -49,12 +49,12 @@
     return entries;
 }
 
-// Sorted by load alone all callers of a domain would go to the one entry that looked idle when it last told.
-// Loads are announced in steps, and entries of one step share the callers by hash, so that a caller also
-// keeps its entry from one answer to the next.
+// Sorting by exact load would send all callers of a domain to the entry that announced the lowest load.
+// Entries with the same load step share the callers by hash instead, so a caller also keeps its entry from
+// one answer to the next.
 void sort_entries(std::vector<entry_process>& entries, const locate_query& query)
 {
-    // A caller without a name gets another order with each answer.
+    // Anonymous callers get a random order.
     const auto seed = query.caller.empty() ? nonce() : hash64(query.caller);
     const auto rank = [&query, seed](const entry_process& item) {
         const bool far = item.node.failure_domain != query.near_domain;
@@ -66,9 +66,9 @@
     });
 }
 
-// A node that lost all or most of its peers at once is more likely cut off than alone. Its callers would get
-// advice that holds few others, so for a while the lost ones come first, whom callers may still reach, and
-// itself last. Where the others are gone indeed, callers find it at the end of the list.
+// A node that lost all or most of its peers at once is probably partitioned. Callers may still reach the lost
+// entries, so for a while these come first and the node itself last, where callers find it if the others
+// have really failed.
 std::vector<entry_process> lost_entries(const node::view& view, const std::string& own_vm, time_point now)
 {
     std::vector<entry_process> entries;
@@ -113,8 +113,8 @@
 
 } // namespace
 
-// Advice that outlives a stopping process leads callers to a closed port: with 5 s of advice and 1 s of drain
-// time 301 of 1625 calls met one in a rolling replacement. So the advice follows from the setting.
+// Advice that outlives a stopping process sends callers to a closed port during a rolling replacement, so its
+// lifetime is derived from the drain time.
 milliseconds advice_ttl(milliseconds drain_time)
 {
     return std::clamp(drain_time - propagation_time, milliseconds{0}, max_advice_ttl);
@@ -142,8 +142,7 @@
             return item.node.failure_domain != primary.node.failure_domain;
         });
     const auto& backup = other_domain != entries.end() ? *other_domain : entries.back();
-    // No key is minted by a node that is cut off: its pairs could not record a claim, or not hand out the
-    // answer.
+    // A partitioned node mints no keys: its pairs could not record a claim or return the answer.
     if (backup.node.vm != primary.node.vm && !view.isolated) {
         const auto expires = query.wall_ms + key_ttl.count();
         found.key_prefix =
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -1,4 +1,4 @@
-/// vg-entry: the callers' front of one VM.
+/// vg-entry: the service for callers on one VM.
 
 #include "entry/claim_peer_service.hpp"
 #include "entry/claim_target.hpp"
@@ -61,8 +61,8 @@
                       {{"http_address", value(http_address)}, {"peer_address", value(peer_address)}});
     node::wait_for_stop();
 
-    // Callers keep address advice for a while, so the process leaves the advice first and serves on until
-    // every kept answer has run out; then it waits for what is in flight.
+    // Callers cache address advice, so the process first leaves the advice and serves until every cached
+    // answer has expired; then it waits for calls in flight.
     keeper.announce([](fleet::process& self) { self.draining = true; });
     std::this_thread::sleep_for(settings.drain_time);
     claims.hand_over();
--- a/src/entry/plain_call.cpp
+++ b/src/entry/plain_call.cpp
@@ -8,8 +8,8 @@
 
 constexpr int max_attempts = 3;
 
-/// Late and crossed answers: one that names another request, or whose body does not match its digest, never
-/// passes for this call's answer.
+/// Rejects late and misrouted answers: those for another request, or with a body that does not match its
+/// digest.
 result<v1::CallReply> validate(const result<target::v1::CallReply>& answer, const v1::CallRequest& request,
                                const std::string& target_id)
 {
@@ -18,10 +18,11 @@
     }
     const auto& reply = value(answer);
     if (reply.request_id() != request.request_id()) {
-        return error{error_code::incomplete, run_state::in_doubt, "the target answered another request"};
+        return error{error_code::incomplete, run_state::in_doubt,
+                     "the target's answer is for another request"};
     }
     if (reply.digest() != digest(reply.body())) {
-        return error{error_code::incomplete, run_state::ran, "the target's answer is not whole"};
+        return error{error_code::incomplete, run_state::ran, "the target's answer does not match its digest"};
     }
     v1::CallReply complete;
     complete.set_request_id(reply.request_id());
@@ -92,8 +93,8 @@
     wire::call_options options;
     options.timeout = std::max(milliseconds{1}, remaining(steady::now(), deadline_));
     options.trace = span_.context();
-    // After a broken connection others of the pool may be broken too; a new one tells a lost target by
-    // refusing, which is known not to have run the call.
+    // After one broken connection other pooled ones may be broken too. A new connection to a lost target is
+    // refused, which proves that the call did not run.
     options.fresh_connection = number > 1;
     auto self = shared_from_this();
     auto cancel = wire::call<target::v1::CallReply>(
@@ -108,16 +109,16 @@
         }
         found->second.cancel = std::move(cancel);
     }
-    // A second run of a call that is not idempotent is what must never happen.
+    // A call that is not idempotent must never run twice.
     if (group_->limited() && request_.idempotent() && number < max_attempts) {
         arm_hedge(number);
     }
 }
 
-// An open connection can go silent for good while the target and new connections work, and a target can be
-// paused. Waiting for the deadline would make the caller late; the call is idempotent, so another target is
-// asked as well once the answer is later than nearly all others, within the retry budget. The first attempt
-// is left to run: it may only be slow, and giving it up would lose the work.
+// A connection can hang while the target and new connections work, and a target can be paused. Rather than
+// wait for the deadline, an idempotent call is also sent to another target once the answer is later than
+// nearly all others, within the retry budget. The first attempt continues: it may only be slow, and
+// cancelling it would lose its work.
 void plain_call::arm_hedge(int number)
 {
     const auto delay = group_->hedge_delay();
@@ -166,7 +167,7 @@
         const std::lock_guard lock(mutex_);
         auto found = running_.extract(number);
         if (found.empty()) {
-            return; // given up for another's answer
+            return; // cancelled: another attempt answered
         }
         ended = std::move(found.mapped());
         others_running = !running_.empty();
@@ -223,8 +224,8 @@
     on_done_(std::move(outcome));
 }
 
-// An attempt that was overtaken was later than nearly all answers: it counts as failed, so that a silent
-// connection's target is soon left alone.
+// An attempt that was hedged and is still running is later than nearly all answers. It counts as failed, so
+// that a target behind a hung connection is soon avoided.
 void plain_call::cancel_others()
 {
     std::map<int, attempt> others;
--- a/src/entry/plain_call.hpp
+++ b/src/entry/plain_call.hpp
@@ -1,5 +1,5 @@
-/// One idempotent call to a plain service: admitted, placed, checked, and tried elsewhere within its
-/// deadline.
+/// One call to a plain service: admits, places and validates it; retries and hedges it within its deadline
+/// where that is safe.
 #ifndef VANILLAGAUGE_ENTRY_PLAIN_CALL_HPP
 #define VANILLAGAUGE_ENTRY_PLAIN_CALL_HPP
 
@@ -41,7 +41,7 @@
     observe::span span_;
     completion on_done_;
 
-    std::mutex mutex_; ///< of what follows; never held while calling out
+    std::mutex mutex_; ///< guards the members below; never held while calling other objects
     policy::work work_;
     std::map<int, attempt> running_;
     int attempts_ = 0;
--- a/src/entry/quarantine_exchange.cpp
+++ b/src/entry/quarantine_exchange.cpp
@@ -8,11 +8,11 @@
 namespace vanillagauge::entry {
 namespace {
 
-/// A crash makes suspects of all requests in flight at the target; they go out in one message. A caller sends
-/// its request again after a second or so, so the news is ahead of it.
+/// A crash makes all requests in flight at the target suspect; this batches them in one message. Callers
+/// retry after about a second, so the records arrive before the retry.
 constexpr milliseconds batch_delay{50};
-/// All entries of today; in a larger fleet each one passes on what is new to it, so the news reaches nearly
-/// all in a few rounds and then stops by itself.
+/// Covers all entries of a small fleet. In a larger one each entry forwards records that are new to it, which
+/// reaches nearly all entries in a few rounds and then stops.
 constexpr std::size_t max_recipients = 8;
 constexpr milliseconds send_timeout{2000};
 
--- a/src/entry/quarantine_exchange.hpp
+++ b/src/entry/quarantine_exchange.hpp
@@ -1,4 +1,4 @@
-/// Tells other entries which requests crash targets, and takes over what they tell.
+/// Exchanges records of requests that crash targets with the other entry processes.
 #ifndef VANILLAGAUGE_ENTRY_QUARANTINE_EXCHANGE_HPP
 #define VANILLAGAUGE_ENTRY_QUARANTINE_EXCHANGE_HPP
 
@@ -10,7 +10,7 @@
 
 class quarantine_exchange final : public v1::EntryPeer {
 public:
-    /// All outlive it. Tells others from now on.
+    /// Starts to send records. The referenced objects must outlive it.
     quarantine_exchange(const entry_context& context, node::channel_pool& peers);
 
     void ShareCrashes(google::protobuf::RpcController* control, const v1::ShareCrashesRequest* request,
--- a/src/entry/streamed_generate.cpp
+++ b/src/entry/streamed_generate.cpp
@@ -8,9 +8,9 @@
 
 constexpr int max_attempts = 3;
 constexpr milliseconds progress_timeout{2000};
-/// What engines cache is shared by prompts that begin alike; the rest of a prompt is its own.
+/// Bytes at the start of a prompt that identify a prefix shared in the engines' caches.
 constexpr std::size_t prefix_length = 64;
-/// Tokens that count as one unit of work between callers.
+/// Tokens per unit of cost in fair queueing between callers.
 constexpr double tokens_per_cost = 64;
 
 std::uint64_t prefix_of(const v1::GenerateRequest& request)
@@ -65,8 +65,8 @@
     forward.set_prompt(request_.prompt());
     forward.set_max_tokens(request_.max_tokens());
     forward.set_adapter(request_.adapter());
-    // An engine that broke off in the middle is followed by another that resumes the text, so that the
-    // caller's stream goes on without a repeated or missing token.
+    // After a failure another engine resumes the text, so that the caller's stream continues without a
+    // repeated or missing token.
     forward.set_resume_text(text_);
     forward.set_resume_tokens(tokens_);
     next_sequence_ = 0;
@@ -74,7 +74,7 @@
     options.timeout = std::max(milliseconds{1}, remaining(started_at_, deadline_));
     options.progress_timeout = progress_timeout;
     options.trace = span_.context();
-    options.fresh_connection = attempts_ > 1; // others of the pool may be broken too
+    options.fresh_connection = attempts_ > 1; // other pooled connections may be broken too
     auto self = shared_from_this();
     auto cancel = wire::stream<target::v1::GenerateChunk>(
         *context_.targets.at(endpoint.address), wire::method<target::v1::Engine>("Generate"), forward,
@@ -84,9 +84,8 @@
     cancel_ = std::move(cancel);
 }
 
-// A caller that hangs up in the middle would leave its engine at work to the last token for nobody, and under
-// a surge impatient callers would take the engines from the patient ones. The closed connection tells the
-// engine to stop.
+// Without this an engine would generate to the last token for a disconnected caller, and under overload such
+// callers would take capacity from the waiting ones. Closing the connection stops the engine.
 void streamed_generate::stop_engine()
 {
     caller_disconnected_ = true;
@@ -132,7 +131,8 @@
     }
 }
 
-// The time to the first chunk shows how loaded an engine is; the time to the last shows how long the text is.
+// Reports the time to the first chunk: it reflects the engine's load, whereas the total time reflects the
+// length of the text.
 void streamed_generate::report(const std::string& target, const result<done>& outcome)
 {
     const bool begun = first_chunk_ != duration::zero();
@@ -159,11 +159,12 @@
         return;
     }
     if (caller_disconnected_) {
-        finish(error{error_code::cancelled, run_state::ran, "the caller has gone"});
+        finish(error{error_code::cancelled, run_state::ran, "the caller closed the connection"});
         return;
     }
     if (mismatched_) {
-        finish(error{error_code::incomplete, run_state::ran, "the engine's stream is not whole"});
+        finish(error{error_code::incomplete, run_state::ran,
+                     "the engine's stream is inconsistent: wrong request, sequence number or token count"});
         return;
     }
     auto last_error = ok(outcome)
@@ -177,7 +178,7 @@
     finish(last_error);
 }
 
-// A generation has no effect outside its answer, so it may always go on elsewhere.
+// A generation has no side effects, so it may always be resumed at another engine.
 bool streamed_generate::retry(const error& failure)
 {
     const bool quarantined = !ok(context_.directory.quarantine().check(fingerprint_));
--- a/src/entry/streamed_generate.hpp
+++ b/src/entry/streamed_generate.hpp
@@ -1,4 +1,4 @@
-/// One caller's generation on an engine, streamed through with its version labels.
+/// One caller's generation: streams an engine's chunks, with their weight versions, to the caller.
 #ifndef VANILLAGAUGE_ENTRY_STREAMED_GENERATE_HPP
 #define VANILLAGAUGE_ENTRY_STREAMED_GENERATE_HPP
 
@@ -15,7 +15,7 @@
 
 class streamed_generate : public std::enable_shared_from_this<streamed_generate> {
 public:
-    /// Answers false once the caller has gone: the engine then stops.
+    /// Returns false once the caller has disconnected; the engine is then stopped.
     using on_chunk = std::function<bool(const v1::GenerateChunk&)>;
     using completion = std::function<void(result<done>)>;
 
@@ -35,8 +35,8 @@
     completion on_done_;
     policy::work work_;
     std::uint64_t fingerprint_;
-    time_point started_at_;  ///< of the present attempt
-    duration first_chunk_{}; ///< of the present attempt; zero: none yet
+    time_point started_at_;  ///< of the current attempt
+    duration first_chunk_{}; ///< of the current attempt; zero: none yet
     run_state ran_ = run_state::not_run;
     int attempts_ = 0;
     std::string text_;
@@ -45,7 +45,7 @@
     bool complete_ = false;
     bool mismatched_ = false;
     std::mutex mutex_;
-    wire::call_cancel cancel_; ///< of the present attempt
+    wire::call_cancel cancel_; ///< of the current attempt
     bool caller_disconnected_ = false;
 
     void launch(const node::target_group::endpoint& endpoint);
