--- a/src/node/channel_pool.hpp
+++ b/src/node/channel_pool.hpp
@@ -1,4 +1,4 @@
-/// Channels by address, made at first use and shared.
+/// Shared channels by address, created at first use.
 #ifndef VANILLAGAUGE_NODE_CHANNEL_POOL_HPP
 #define VANILLAGAUGE_NODE_CHANNEL_POOL_HPP
 
@@ -27,9 +27,9 @@
     std::map<std::string, std::shared_ptr<wire::channel>> channels_;
 };
 
-/// HTTP/1.1 with JSON, for targets and the platform.
+/// Channels with HTTP/1.1 and JSON, for targets and the platform.
 channel_pool http_channels(wire::event_loop& loop);
-/// HTTP/2, for our own processes.
+/// Channels with HTTP/2, for processes of this service.
 channel_pool peer_channels(wire::event_loop& loop);
 
 } // namespace vanillagauge::node
--- a/src/node/convert.cpp
+++ b/src/node/convert.cpp
@@ -14,7 +14,7 @@
     return text == "suspect" ? fleet::member_state::suspect : fleet::member_state::dead;
 }
 
-/// An unknown state counts as suspect: it ends by itself.
+/// An unknown state counts as suspect, which the failure detector resolves by itself.
 fleet::member_state parse_state(std::uint32_t number)
 {
     const bool known = number <= static_cast<std::uint32_t>(fleet::member_state::left);
--- a/src/node/convert.hpp
+++ b/src/node/convert.hpp
@@ -1,4 +1,4 @@
-/// Between the schema's messages and the types of the pure libraries.
+/// Converts between the schema's messages and the types of the fleet and config libraries.
 #ifndef VANILLAGAUGE_NODE_CONVERT_HPP
 #define VANILLAGAUGE_NODE_CONVERT_HPP
 
--- a/src/node/keeper_link.cpp
+++ b/src/node/keeper_link.cpp
@@ -6,7 +6,7 @@
 namespace vanillagauge::node {
 namespace {
 
-/// The keeper counts a program as gone after a few of these without a request.
+/// The keeper counts a program as stopped after a few such intervals without a request.
 constexpr milliseconds follow_wait{500};
 constexpr milliseconds follow_timeout{2500};
 constexpr milliseconds retry_delay{200};
@@ -27,8 +27,8 @@
     }
     next->isolated = reply.isolated();
     next->fencing_token = reply.lease_fencing();
-    // Counted from the question, not the answer: an answer that waited in a paused process's socket would
-    // otherwise lengthen the lease by the pause.
+    // Measured from the request, not the reply: otherwise a reply that waited in a paused process's socket
+    // would extend the lease by the pause.
     next->lease_until = requested_at + milliseconds{reply.lease_left_ms()};
     next->draining = reply.draining();
     next->updated = steady::now();
@@ -59,7 +59,7 @@
         change(self_);
         ++unacknowledged_;
     }
-    // On the loop, as the other questions are, so that none with older news follows.
+    // On the loop, like the polls, so that no request with older state is sent afterwards.
     loop_.post([this] { send_announcement(); });
 }
 
@@ -91,7 +91,7 @@
     return request;
 }
 
-// The question under way bears the older news, and the next one may come after the program's end.
+// The poll in flight carries the older state, and the next one may not be sent before the program ends.
 void keeper_link::send_announcement()
 {
     v1::FollowRequest request;
--- a/src/node/keeper_link.hpp
+++ b/src/node/keeper_link.hpp
@@ -1,4 +1,5 @@
-/// A program's link to the keeper of its VM: it announces itself and follows configuration and membership.
+/// A program's connection to the keeper of its VM: announces the program, and follows configuration and
+/// membership.
 #ifndef VANILLAGAUGE_NODE_KEEPER_LINK_HPP
 #define VANILLAGAUGE_NODE_KEEPER_LINK_HPP
 
@@ -20,17 +21,17 @@
 
 namespace vanillagauge::node {
 
-/// What a program knows of the fleet. Without its keeper a program goes on with the last view.
+/// A program's view of the fleet. While the keeper is unreachable the last view stays in use.
 struct view {
     config::replica config;
     std::vector<fleet::member> nodes;
-    bool draining = false;  ///< this VM is to stop
-    time_point updated;     ///< when the keeper last answered
-    bool connected = false; ///< the keeper has answered at least once
-    bool isolated = false;  ///< this VM reaches few of the others: it should not offer itself to callers
+    bool draining = false;           ///< this VM is about to stop
+    time_point updated;              ///< when the keeper last answered
+    bool connected = false;          ///< the keeper has answered at least once
+    bool isolated = false;           ///< this VM reaches few others and should not offer itself to callers
     std::uint64_t fencing_token = 0; ///< 0: this VM holds no lease
-    /// By this process's clock. To be compared with the clock again after every wait: whoever was paused
-    /// finds here that the lease is over.
+    /// By this process's steady clock. Compare it with the clock again after every wait: the lease may have
+    /// expired while the process was paused.
     time_point lease_until;
 };
 
@@ -38,14 +39,15 @@
 public:
     keeper_link(wire::event_loop& loop, const config::settings& settings);
 
-    /// Called after each change of the view, on the loop's thread or a channel's.
+    /// Sets the handler called after each change of the view, on the loop's thread or a channel's. Set it
+    /// before `follow`.
     void on_change(std::function<void()> handler) { on_change_ = std::move(handler); }
-    /// Starts to follow, with what the program says of itself.
+    /// Starts to poll the keeper, with `self` as the program's announced state.
     void follow(fleet::process self);
-    /// Changes what the program says of itself, and tells the keeper at once.
+    /// Changes the announced state and sends it to the keeper at once.
     void announce(std::function<void(fleet::process&)> change);
-    /// Ends following once the keeper knows what was announced, or does not answer; it forgets the program
-    /// once that is silent. Not on the loop's thread.
+    /// Stops polling and waits, up to a timeout, until the keeper has acknowledged all announcements. The
+    /// keeper removes the program when its polls cease. Must not run on the loop's thread.
     void stop();
 
     std::shared_ptr<const view> current() const;
@@ -67,7 +69,7 @@
     std::size_t unacknowledged_ = 0; ///< announcements that the keeper has not answered
     std::condition_variable acknowledged_;
 
-    /// With the lock held.
+    /// The caller holds the lock.
     v1::FollowRequest make_request() const;
     void poll();
     void send_announcement();
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -1,4 +1,4 @@
-/// What every program of a VM shares: start and stop, the link to the keeper, channels to targets.
+/// Shared by the programs of a VM: start and stop, the connection to the keeper, channels to targets.
 #ifndef VANILLAGAUGE_NODE_NODE_HPP
 #define VANILLAGAUGE_NODE_NODE_HPP
 
--- a/src/node/program.cpp
+++ b/src/node/program.cpp
@@ -56,7 +56,7 @@
 std::variant<config::settings, exit_now> start(const std::string& program, int argc, char** argv,
                                                observe::log_target target)
 {
-    // First of all: a reload asked for while the settings are read would end the program.
+    // Before anything else: SIGHUP while the settings are read would terminate the program.
     block_stop_signals();
     auto parsed = parse_arguments(program, argc, argv);
     if (const auto* end = std::get_if<exit_now>(&parsed)) {
@@ -135,7 +135,7 @@
     return reload ? node_signal::reload : node_signal::stop;
 }
 
-// Without the wait for another signal a hang-up would end the program and cut every request in flight.
+// Waits again after SIGHUP, which would otherwise stop the program and abort all requests in flight.
 void wait_for_stop()
 {
     while (wait_for_signal() == node_signal::reload) {
--- a/src/node/program.hpp
+++ b/src/node/program.hpp
@@ -24,13 +24,13 @@
 constexpr int exit_usage = 2;
 constexpr int exit_settings = 3;
 
-/// The program is to end at once with this code (--help, --version, --check, or an error already printed).
+/// The program must exit at once with this code (--help, --version, --check, or an error already printed).
 struct exit_now {
     int code = exit_success;
 };
 
-/// Reads the command line and the settings, then starts logs and spans. Blocks SIGTERM, SIGINT and SIGHUP for
-/// this thread and all that it starts, so call it first.
+/// Reads the command line and the settings, then starts logging and tracing. Blocks SIGTERM, SIGINT and
+/// SIGHUP for this thread and those it creates, so call it before any thread starts.
 std::variant<config::settings, exit_now>
 start(const std::string& program, int argc, char** argv,
       observe::log_target target = observe::log_target::standard_error);
@@ -38,25 +38,25 @@
 /// The project's version, from the build.
 const char* version();
 
-/// The series, always 1, that names program and version on a metrics page.
+/// The name of the metric, always 1, that gives program and version as labels.
 std::string build_info(const std::string& program);
 
-/// Parses a command line that is the program's own: prints help, version or what is wrong. Empty: go on.
+/// Parses the program's command line. Prints help, version or the error; returns empty to continue.
 std::optional<exit_now> parse_command_line(TCLAP::CmdLine& line, int argc, char** argv);
 
-/// Blocks SIGTERM, SIGINT and SIGHUP and ignores SIGPIPE, for programs with a command line of their own.
+/// Blocks SIGTERM, SIGINT and SIGHUP and ignores SIGPIPE, for programs that do not call `start`.
 void block_stop_signals();
 
-/// Prints the one line that says the program is up, as JSON with the given fields.
+/// Prints the line that announces readiness, as JSON with the given fields.
 void print_ready(const std::string& program,
                  std::initializer_list<std::pair<const char*, std::string>> fields);
 
 enum class node_signal { stop, reload };
 
-/// Waits for SIGTERM or SIGINT, which ask to stop, or SIGHUP, which says that the settings have changed.
+/// Waits for SIGTERM or SIGINT (stop) or SIGHUP (reload the settings).
 node_signal wait_for_signal();
 
-/// Waits for SIGTERM or SIGINT; a SIGHUP is logged and changes nothing.
+/// Waits for SIGTERM or SIGINT; SIGHUP is logged and otherwise ignored.
 void wait_for_stop();
 
 wire::access_table access_of(const config::token_settings& tokens);
--- a/src/node/shared_quarantine.hpp
+++ b/src/node/shared_quarantine.hpp
@@ -1,4 +1,4 @@
-/// The process's quarantine of requests that crash targets, for several threads.
+/// Thread-safe quarantine of requests that crash targets, one for the process.
 #ifndef VANILLAGAUGE_NODE_SHARED_QUARANTINE_HPP
 #define VANILLAGAUGE_NODE_SHARED_QUARANTINE_HPP
 
@@ -12,7 +12,7 @@
 
 class shared_quarantine {
 public:
-    /// Called, on any thread, after something new was learnt here or from another node.
+    /// Sets the handler called, on any thread, after a crash here or a new record from another node.
     void on_update(std::function<void()> handler) { on_update_ = std::move(handler); }
 
     void on_crash(std::uint64_t fingerprint, const std::string& target, time_point started_at);
--- a/src/node/target_directory.cpp
+++ b/src/node/target_directory.cpp
@@ -8,12 +8,12 @@
 namespace vanillagauge::node {
 namespace {
 
-/// Rollouts pace themselves by job and step; their limit only keeps one process from swamping an engine.
+/// Rollouts limit themselves by job and step; this only keeps one process from overloading an engine.
 constexpr int rollout_limit = 32;
 constexpr milliseconds poll_interval{500};
 constexpr milliseconds poll_timeout{400};
-/// Of each deployment and round: the reports are hints, and at thousands of targets asking each one would
-/// cost more than what it saves.
+/// Targets polled per deployment and round: load reports are hints, and polling each of thousands of targets
+/// would cost more than it saves.
 constexpr std::size_t polls_per_round = 8;
 
 void poll(const std::shared_ptr<target_group>& group, const target_group::endpoint& target,
@@ -59,7 +59,7 @@
     groups_ = std::move(next);
 }
 
-/// A deployment that cannot be read leaves the group as it was: callers are served by what is known.
+/// A deployment that cannot be parsed keeps its current group, so that callers are still served.
 target_directory::versioned_group target_directory::updated_group(const config::object& item,
                                                                   const versioned_group& current) const
 {
@@ -89,7 +89,7 @@
 {
     milliseconds delay{0};
     {
-        // Nodes that started together would ask every target at the same moment.
+        // Jitter: nodes that started together would otherwise poll every target at the same moment.
         const std::lock_guard lock(mutex_);
         std::uniform_int_distribution<std::int64_t> draw(poll_interval.count() / 2,
                                                          poll_interval.count() * 3 / 2);
--- a/src/node/target_directory.hpp
+++ b/src/node/target_directory.hpp
@@ -1,4 +1,4 @@
-/// The targets of each deployment, with what this process has in flight at each.
+/// The targets of each deployment, with this process's requests in flight at each.
 #ifndef VANILLAGAUGE_NODE_TARGET_DIRECTORY_HPP
 #define VANILLAGAUGE_NODE_TARGET_DIRECTORY_HPP
 
@@ -17,18 +17,18 @@
 
 class target_directory {
 public:
-    /// For work that has lines of its own: nothing waits for a target here.
+    /// For work with queues of its own: requests never wait for a target here.
     target_directory();
-    /// Requests may wait; the loop outlives the directory's groups.
+    /// Requests may wait; the loop must outlive the directory's groups.
     target_directory(wire::event_loop& loop, const policy::pool_options& options);
 
-    /// Takes over the deployments of a new view.
+    /// Applies the deployments of a new view.
     void update(const view& view);
-    /// Asks targets for their load from now on, a few of each deployment at a time.
+    /// Starts to poll targets for their load periodically, a few of each deployment at a time.
     void poll_loads(channel_pool& targets);
-    /// Null where there is no such deployment.
+    /// Null where the deployment does not exist.
     std::shared_ptr<target_group> find(const std::string& deployment) const;
-    /// In flight at targets and waiting for them, of all deployments.
+    /// Requests in flight at targets or waiting for them, of all deployments.
     std::size_t outstanding_requests() const;
     shared_quarantine& quarantine() { return quarantine_; }
 
--- a/src/node/target_group.cpp
+++ b/src/node/target_group.cpp
@@ -61,7 +61,7 @@
     std::vector<notification> notifications;
     if (std::holds_alternative<policy::queued>(decided)) {
         waiting_[id] = std::move(completion);
-        notifications = advance(); // others may have had to give way
+        notifications = advance(); // others may have been evicted for it
     }
     else if (const auto* placed = std::get_if<policy::placed>(&decided)) {
         notifications.push_back({std::move(completion), endpoint_of(*placed)});
@@ -165,7 +165,7 @@
     return notifications;
 }
 
-// One timer for the group, armed only while requests wait: an idle group costs nothing.
+// One timer per group, armed only while requests wait, so that an idle group costs nothing.
 void target_group::arm_timer()
 {
     const auto next = scheduler_.next_expiry();
--- a/src/node/target_group.hpp
+++ b/src/node/target_group.hpp
@@ -1,4 +1,4 @@
-/// One deployment's targets and the requests that wait for them: a shard under its own lock.
+/// One deployment's targets and the requests that wait for them, under one lock.
 #ifndef VANILLAGAUGE_NODE_TARGET_GROUP_HPP
 #define VANILLAGAUGE_NODE_TARGET_GROUP_HPP
 
@@ -19,38 +19,38 @@
 
 class target_group : public std::enable_shared_from_this<target_group> {
 public:
-    /// A place taken at a target; give it back with `release`.
+    /// A target's id and address. When returned for a request, a unit of the target's capacity is held;
+    /// return it with `release`.
     struct endpoint {
         std::string id;
         std::string address;
     };
-    /// An error is final, and `not_run`.
+    /// Receives the target or a final error, which is `not_run`.
     using on_placed = std::function<void(result<endpoint>)>;
 
-    /// Without a loop nothing waits: what finds no room is refused at once.
+    /// Without a loop requests do not wait: without free capacity they are refused at once.
     target_group(config::deployment_spec spec, const policy::pool_options& options, wire::event_loop* loop);
 
-    // Commands. Callbacks run outside the lock, on the thread that made room or the loop's.
+    // Callbacks run outside the lock, on the thread that freed capacity or on the loop's.
     void update(const config::deployment_spec& spec);
-    /// Calls `ready` once, now or when the request's turn has come or it has waited as long as it may.
+    /// Calls `completion` once: now, when the request is placed, or when its wait expires.
     void submit(policy::work item, on_placed completion);
-    /// Another place for a request that has been sent already; takes from the retry budget and never waits.
+    /// Another target for a request that was already sent; uses the retry budget and never waits.
     std::optional<endpoint> retry(const policy::work& item);
-    /// A place for work that has a line of its own. None where no target that is not in `tried` has room.
+    /// A target for work with a queue of its own; empty where no target outside `tried` has free capacity.
     std::optional<endpoint> acquire(const std::string& near_domain, const std::set<std::string>& tried);
     void release(const std::string& target_id, const policy::attempt_report& report = {});
     void on_report(const std::string& target_id, const policy::load_report& report);
 
-    // Queries.
     config::target_kind kind() const;
     milliseconds default_deadline() const;
-    /// Some of the targets, others each time, for load reports.
+    /// The next `count` targets in turn, to poll for load reports. Holds no capacity.
     std::vector<endpoint> next_to_poll(std::size_t count);
-    /// How long to wait for an answer before another target is asked as well.
+    /// How long to wait for an answer before the request is also sent to another target.
     milliseconds hedge_delay() const;
-    /// The plain baseline retries without end and never hedges.
+    /// False for the baseline policy, which retries without limit and never hedges.
     bool limited() const { return options_.limited; }
-    /// In flight at targets and waiting for them.
+    /// Requests in flight at targets or waiting for them.
     std::size_t outstanding_requests() const;
 
 private:
