--- a/tests/entry/locate_tests.cpp
+++ b/tests/entry/locate_tests.cpp
@@ -33,14 +33,14 @@
     return view;
 }
 
-TEST(locate, names_near_entries_first_and_less_loaded_before_others)
+TEST(locate, orders_entries_by_domain_then_load)
 {
     const auto view = view_of(
         {entry_at("vm-1", "marousi"), entry_at("vm-2", "piraeus", 3), entry_at("vm-3", "piraeus", 1)});
     EXPECT_EQ(advice(view, "phone"), (std::vector<std::string>{"vm-3:80", "vm-2:80", "vm-1:80"}));
 }
 
-// Entries that are equally loaded share the callers; each caller keeps its own while nothing changes.
+// Equally loaded entries share the callers, and each caller gets a stable order.
 TEST(locate, spreads_callers_over_entries_of_equal_load)
 {
     const auto view = view_of({entry_at("vm-1", "piraeus"), entry_at("vm-2", "piraeus")});
@@ -53,7 +53,7 @@
     EXPECT_EQ(firsts.size(), 2U);
 }
 
-TEST(locate, spreads_callers_without_a_name)
+TEST(locate, spreads_anonymous_callers)
 {
     const auto view = view_of({entry_at("vm-1", "piraeus"), entry_at("vm-2", "piraeus")});
     std::set<std::string> firsts;
@@ -63,7 +63,7 @@
     EXPECT_EQ(firsts.size(), 2U);
 }
 
-TEST(locate, leaves_out_what_drains)
+TEST(locate, omits_draining_entries)
 {
     auto draining = entry_at("vm-2", "piraeus");
     draining.info.processes.front().draining = true;
@@ -71,9 +71,9 @@
     EXPECT_EQ(advice(view, "phone"), (std::vector<std::string>{"vm-1:80"}));
 }
 
-// The node that answers has lost all its peers at once: it is probably cut off itself. Callers are sent to
-// the others first and get no call keys, since no backup would record a claim.
-TEST(locate, a_node_that_lost_all_its_peers_names_itself_last)
+// A node that lost all its peers at once is probably partitioned: callers try the others first and get no
+// call keys, since no backup would record a claim.
+TEST(locate, node_without_peers_lists_itself_last)
 {
     const auto view =
         view_of({entry_at("vm-1", "piraeus"), entry_at("vm-2", "piraeus", 0, fleet::member_state::dead),
@@ -84,9 +84,9 @@
     EXPECT_EQ(value(locate(view, later)).addresses, (std::vector<std::string>{"vm-1:80"}));
 }
 
-// The node sees one peer of three: it is in the smaller part of a cut. The lost ones come first, then the
-// peer, itself last; no key is minted, since the larger part would take its pairs over.
-TEST(locate, an_isolated_node_names_itself_last_and_mints_no_key)
+// A node that reaches one peer of three is in the minority of a partition: lost entries come first, then the
+// peer, then itself; it mints no key, since the majority would take over its pairs.
+TEST(locate, isolated_node_lists_itself_last_and_mints_no_key)
 {
     auto view = view_of({entry_at("vm-1", "piraeus"), entry_at("vm-2", "marousi"),
                          entry_at("vm-3", "glyfada", 0, fleet::member_state::dead),
@@ -101,9 +101,9 @@
     EXPECT_EQ(value(locate(view, {"piraeus", "phone", "vm-1", now, 0})).key_prefix, "");
 }
 
-// A stopping entry serves for the drain time after it left the advice. Advice kept longer than that would
-// lead callers to a closed port.
-TEST(advice_ttl, ends_before_a_stopping_entry_does)
+// A stopping entry serves for the drain time after it left the advice; advice cached for longer would send
+// callers to a closed port.
+TEST(advice_ttl, is_shorter_than_drain_time)
 {
     EXPECT_EQ(advice_ttl(milliseconds{6000}), milliseconds{5000});
     EXPECT_EQ(advice_ttl(milliseconds{60000}), milliseconds{5000});
--- a/tests/entry/plain_call_tests.cpp
+++ b/tests/entry/plain_call_tests.cpp
@@ -11,7 +11,7 @@
 
 enum class behaviour { answers, silent, refuses, fails };
 
-/// A service on a real socket that answers, refuses without running, fails after running, or keeps silent.
+/// A service on a real socket that answers, refuses without running, fails after running, or never answers.
 class scripted_target final : public target::v1::PlainService {
 public:
     explicit scripted_target(behaviour mode) : mode_(mode)
@@ -43,7 +43,8 @@
             return;
         }
         if (mode_ == behaviour::refuses) {
-            wire::from(control).fail({error_code::unavailable, run_state::not_run, "takes nothing"});
+            wire::from(control).fail(
+                {error_code::unavailable, run_state::not_run, "the target refuses all calls"});
         }
         if (mode_ == behaviour::fails) {
             wire::from(control).fail({error_code::internal, run_state::in_doubt, "the reply was lost"});
@@ -67,7 +68,8 @@
     std::string address_;
 };
 
-/// An entry's parts before scripted targets. The first target is in the entry's domain, so it is asked first.
+/// The parts of an entry with scripted targets. The first target is in the entry's domain, so it is called
+/// first.
 struct entry_fixture {
     config::settings settings;
     std::list<scripted_target> targets;
@@ -112,9 +114,9 @@
     }
 };
 
-// The connection to a target is open and silent. The caller of an idempotent call sees nothing of it: once
-// the answer is later than usual another target is asked, long before the deadline.
-TEST(plain_call, an_idempotent_call_goes_on_elsewhere_when_its_target_is_silent)
+// A target with an open connection never answers. The idempotent call is hedged to another target long before
+// its deadline.
+TEST(plain_call, hedges_idempotent_call_when_target_is_silent)
 {
     entry_fixture entry({behaviour::silent, behaviour::answers});
     const auto reply = entry.call(true, seconds{60});
@@ -122,9 +124,8 @@
     EXPECT_EQ(value(reply).target(), "t2");
 }
 
-// The same for a charge: the silent target may have run it, so no other target may be asked, hedge or retry.
-// The caller learns that it is in doubt.
-TEST(plain_call, a_call_that_is_not_idempotent_is_never_sent_twice)
+// A silent target may have run the call, so it must not be hedged or retried; the caller gets in_doubt.
+TEST(plain_call, never_sends_non_idempotent_call_twice)
 {
     entry_fixture entry({behaviour::silent, behaviour::answers});
     const auto reply = entry.call(false, milliseconds{1500});
@@ -134,7 +135,7 @@
     EXPECT_EQ(entry.targets.back().call_count(), 0);
 }
 
-TEST(plain_call, a_call_that_is_not_idempotent_goes_on_where_it_was_refused_as_not_run)
+TEST(plain_call, retries_non_idempotent_call_refused_as_not_run)
 {
     entry_fixture entry({behaviour::refuses, behaviour::answers});
     const auto reply = entry.call(false, seconds{60});
@@ -142,9 +143,9 @@
     EXPECT_EQ(entry.targets.back().call_count(), 1);
 }
 
-// The first target ran the call and lost its reply; the second refuses it as not run. To the caller the call
-// is in doubt: the refusal is of the second attempt alone.
-TEST(plain_call, a_refused_retry_does_not_hide_that_the_first_attempt_may_have_run)
+// The first target may have run the call but its reply is lost; the second refuses it as not_run. The call
+// stays in_doubt: the refusal covers the second attempt alone.
+TEST(plain_call, refused_retry_keeps_in_doubt_of_first_attempt)
 {
     entry_fixture entry({behaviour::fails, behaviour::refuses});
     const auto reply = entry.call(true, seconds{60});
@@ -153,7 +154,7 @@
     EXPECT_EQ(entry.targets.back().call_count(), 1);
 }
 
-TEST(plain_call, refused_by_every_target_it_is_not_run)
+TEST(plain_call, reports_not_run_when_every_target_refuses)
 {
     entry_fixture entry({behaviour::refuses, behaviour::refuses});
     const auto reply = entry.call(true, seconds{60});
