--- a/src/entry/claim_calls.hpp
+++ b/src/entry/claim_calls.hpp
@@ -1,4 +1,4 @@
-/// Calls that are not idempotent: the claim pairs of this process, run over its peers and targets.
+/// Runs non-idempotent calls at most once, through the claim pairs of this process and its peers.
 #ifndef VANILLAGAUGE_ENTRY_CLAIM_CALLS_HPP
 #define VANILLAGAUGE_ENTRY_CLAIM_CALLS_HPP
 
@@ -15,10 +15,10 @@
 
 namespace vanillagauge::entry {
 
-/// How a claimed call reaches a target.
+/// Runs claimed calls at targets.
 struct claim_runner {
     using completion = std::function<void(result<v1::CallReply>)>;
-    /// The error for a request that no target can serve.
+    /// The error for a request that no target can serve; empty if one can.
     std::function<std::optional<error>(const v1::CallRequest&)> refusal;
     /// Runs the call at most once.
     std::function<void(const v1::CallRequest&, time_point deadline, const observe::trace_context&,
@@ -26,7 +26,7 @@
         run;
 };
 
-/// What the claimed calls of a process share; all outlive them.
+/// Shared by the claimed calls of a process; the referenced objects must outlive them.
 struct claim_context {
     std::string vm;
     wire::event_loop& loop;
@@ -43,20 +43,21 @@
 
     claim_calls(claim_context context, claim_runner runner);
 
-    // Commands.
-    /// A call from a caller, or forwarded by another entry process. `on_done` runs once, by the deadline.
+    /// Handles a call from a caller or forwarded by another entry process. `on_done` runs once, by the
+    /// deadline.
     void call(const v1::CallRequest& request, time_point deadline, const observe::trace_context& trace,
               completion on_done);
     v1::ClaimReply record(const v1::ClaimRequest& request);
     v1::ClaimPairReply close(const v1::ClaimPairRequest& request);
     v1::ClaimTransferReply transfer(const v1::ClaimTransfer& request);
-    /// A planned stop: no new key from now on, then the memory goes to the backups once nothing is in flight.
+    /// For a planned stop: accepts no new keys, waits for calls in flight, then sends the settled records to
+    /// the backups. Blocks.
     void hand_over();
-    /// Frees expired keys from time to time.
+    /// Frees expired keys periodically.
     void start_expiry();
 
 private:
-    /// One request that waits at its primary for the key's outcome.
+    /// A request that waits at the primary for the outcome of its key.
     struct waiting_call {
         v1::CallRequest request;
         time_point deadline;
@@ -64,7 +65,7 @@
         completion on_done;
         wire::timer_cancel timer{};
     };
-    struct asked_call {
+    struct pending_call {
         v1::CallRequest request;
         claims::call_key key;
         std::uint64_t fingerprint = 0;
@@ -72,28 +73,29 @@
         observe::trace_context trace;
         completion on_done;
     };
-    using asked = std::shared_ptr<asked_call>;
+    using pending_call_ptr = std::shared_ptr<pending_call>;
 
     claim_context context_;
     claim_runner runner_;
     claim_link link_;
     claim_store store_;
     std::atomic<claims::waiter_id> next_waiter_{0};
-    mutable std::mutex own_mutex_;
-    std::set<std::uint64_t> own_;
+    mutable std::mutex incarnations_mutex_;
+    std::set<std::uint64_t> incarnations_;
     std::mutex waiting_mutex_;
     std::map<claims::waiter_id, waiting_call> waiting_;
 
     claims::pair_role role_of(const claims::claim_pair& pair) const;
-    void at_primary(const asked& call);
-    void at_backup(const asked& call);
-    void take_over(const asked& call);
-    void ask_backup_to_close(const asked& call);
-    void ask_primary(const asked& call, milliseconds timeout, std::function<void()> otherwise);
-    void ask_backup(const asked& call);
+    void call_as_primary(const pending_call_ptr& call);
+    void call_as_backup(const pending_call_ptr& call);
+    void take_over(const pending_call_ptr& call);
+    void request_close(const pending_call_ptr& call);
+    void forward_to_primary(const pending_call_ptr& call, milliseconds timeout,
+                            std::function<void()> fallback);
+    void forward_to_backup(const pending_call_ptr& call);
 
     void arm_deadline(claims::waiter_id who, const claims::call_key& key, time_point deadline);
-    void leave(const claims::call_key& key, claims::waiter_id who);
+    void remove_waiter(const claims::call_key& key, claims::waiter_id who);
     void perform(const claims::primary_actions& actions, const observe::trace_context& trace = {});
     void send_record(const claims::send_record& action, const observe::trace_context& trace, int attempt);
     void on_recorded(const claims::send_record& action, const observe::trace_context& trace, int attempt,
@@ -101,7 +103,7 @@
     void dispatch(const claims::dispatch_call& action);
     void send_settled(const claims::settled_record& record);
     void reply(const claims::send_reply& action);
-    void renew();
+    void renew_incarnation();
 };
 
 /// Milliseconds since the epoch, for key expiry.
--- a/src/entry/claim_link.hpp
+++ b/src/entry/claim_link.hpp
@@ -11,14 +11,13 @@
 
 namespace vanillagauge::entry {
 
-/// The time a call may take, and the trace that it belongs to (empty: none).
-struct hop {
+struct peer_call_options {
     milliseconds timeout{0};
-    observe::trace_context trace{};
+    observe::trace_context trace{}; ///< empty: not traced
 };
 
-/// Each completion runs exactly once, within the time given; `unavailable` and `not_run` at once where the
-/// VM's entry process is not known to be alive.
+/// Each completion runs exactly once, within the timeout; at once with `unavailable` and `not_run` where no
+/// live entry process of the VM is known.
 class claim_link {
 public:
     claim_link(node::keeper_link& keeper, node::channel_pool& peers, std::string token)
@@ -26,13 +25,13 @@
     {
     }
 
-    void record(const std::string& vm, const v1::ClaimRequest& request, const hop& from,
+    void record(const std::string& vm, const v1::ClaimRequest& request, const peer_call_options& options,
                 std::function<void(result<v1::ClaimReply>)> on_done) const;
-    void close(const std::string& vm, const v1::ClaimPairRequest& request, const hop& from,
+    void close(const std::string& vm, const v1::ClaimPairRequest& request, const peer_call_options& options,
                std::function<void(result<v1::ClaimPairReply>)> on_done) const;
-    void transfer(const std::string& vm, const v1::ClaimTransfer& request, const hop& from,
+    void transfer(const std::string& vm, const v1::ClaimTransfer& request, const peer_call_options& options,
                   std::function<void(result<v1::ClaimTransferReply>)> on_done) const;
-    void forward(const std::string& vm, const v1::CallRequest& request, const hop& from,
+    void forward(const std::string& vm, const v1::CallRequest& request, const peer_call_options& options,
                  std::function<void(result<v1::ClaimVerdict>)> on_done) const;
 
 private:
@@ -42,7 +41,7 @@
 
     template <class Response>
     void send(const std::string& vm, const char* method, const google::protobuf::Message& request,
-              const hop& from, std::function<void(result<Response>)> on_done) const;
+              const peer_call_options& options, std::function<void(result<Response>)> on_done) const;
 };
 
 } // namespace vanillagauge::entry
--- a/src/entry/claim_run_guard.cpp
+++ b/src/entry/claim_run_guard.cpp
@@ -5,30 +5,30 @@
 namespace vanillagauge::entry {
 namespace {
 
-/// Whether the call may have reached a target; shared by the channels of one call.
+/// Permits one attempt at a time, and none after one that may have run; shared by the channels of a call.
 class run_permit {
 public:
-    bool take()
+    bool acquire()
     {
         const std::lock_guard lock(mutex_);
-        return !std::exchange(taken_, true);
+        return !std::exchange(acquired_, true);
     }
 
-    void give_back()
+    void release()
     {
         const std::lock_guard lock(mutex_);
-        taken_ = false;
+        acquired_ = false;
     }
 
 private:
     std::mutex mutex_;
-    bool taken_ = false;
+    bool acquired_ = false;
 };
 
-/// Two things would run a call twice behind the claim protocol's back. The HTTP client sends a request once
-/// more by itself when a pooled connection is closed before an answer, though the target may have run it; a
-/// fresh connection is never pooled, so it has no such repeat. And a driver that retries or hedges for
-/// latency would start a second attempt; here it gets no channel while the first may have run.
+/// Prevents two ways to run a call twice that the claim protocol does not see. The HTTP client resends a
+/// request when a pooled connection closes before the answer, though the target may have run it; it never
+/// resends on a fresh connection. A driver that retries or hedges would start a second attempt; that is
+/// refused while the first may have run.
 class guarded_channel final : public wire::channel {
 public:
     guarded_channel(std::shared_ptr<wire::channel> inner, std::shared_ptr<run_permit> permit)
@@ -41,7 +41,7 @@
     wire::call_cancel start(const std::string& path, std::string body, const wire::call_options& options,
                             on_chunk chunk, on_done done) override
     {
-        if (!permit_->take()) {
+        if (!permit_->acquire()) {
             done(error{error_code::cancelled, run_state::not_run, "the call may have run already"});
             return [] {};
         }
@@ -49,7 +49,7 @@
         fresh.fresh_connection = true;
         auto finish = [permit = permit_, done = std::move(done)](result<std::string> outcome) {
             if (!ok(outcome) && failure(outcome).ran == run_state::not_run) {
-                permit->give_back();
+                permit->release();
             }
             done(std::move(outcome));
         };
--- a/src/entry/plain_call.cpp
+++ b/src/entry/plain_call.cpp
@@ -6,29 +6,30 @@
 namespace vanillagauge::entry {
 namespace {
 
-constexpr int most_attempts = 3;
+constexpr int max_attempts = 3;
 
-/// Late and crossed answers: one that names another request, or whose body does not match its digest, never
-/// passes for this call's answer.
-result<v1::CallReply> checked(const result<target::v1::CallReply>& answer, const v1::CallRequest& request,
-                              const std::string& target_id)
+/// Rejects late and misrouted answers: those for another request, or with a body that does not match its
+/// digest.
+result<v1::CallReply> validate(const result<target::v1::CallReply>& answer, const v1::CallRequest& request,
+                               const std::string& target_id)
 {
     if (!ok(answer)) {
         return failure(answer);
     }
     const auto& reply = value(answer);
     if (reply.request_id() != request.request_id()) {
-        return error{error_code::incomplete, run_state::in_doubt, "the target answered another request"};
+        return error{error_code::incomplete, run_state::in_doubt,
+                     "the target's answer is for another request"};
     }
     if (reply.digest() != digest(reply.body())) {
-        return error{error_code::incomplete, run_state::ran, "the target's answer is not whole"};
-    }
-    v1::CallReply whole;
-    whole.set_request_id(reply.request_id());
-    whole.set_body(reply.body());
-    whole.set_digest(reply.digest());
-    whole.set_target(target_id);
-    return whole;
+        return error{error_code::incomplete, run_state::ran, "the target's answer does not match its digest"};
+    }
+    v1::CallReply complete;
+    complete.set_request_id(reply.request_id());
+    complete.set_body(reply.body());
+    complete.set_digest(reply.digest());
+    complete.set_target(target_id);
+    return complete;
 }
 
 } // namespace
@@ -49,40 +50,40 @@
 
 void plain_call::start()
 {
-    const auto held = context_.directory.quarantine().check(fingerprint_);
-    if (!ok(held)) {
-        finish(failure(held));
+    const auto quarantine_check = context_.directory.quarantine().check(fingerprint_);
+    if (!ok(quarantine_check)) {
+        finish(failure(quarantine_check));
         return;
     }
     auto self = shared_from_this();
-    group_->submit(work_, [self](const result<node::target_group::slot>& slot) {
-        if (ok(slot)) {
-            self->launch(value(slot));
+    group_->submit(work_, [self](const result<node::target_group::endpoint>& endpoint) {
+        if (ok(endpoint)) {
+            self->launch(value(endpoint));
         }
         else {
-            self->finish(failure(slot));
+            self->finish(failure(endpoint));
         }
     });
 }
 
-void plain_call::launch(const node::target_group::slot& slot)
+void plain_call::launch(const node::target_group::endpoint& endpoint)
 {
     int number = 0;
-    bool overtaken = false;
+    bool already_finished = false;
     {
         const std::lock_guard lock(mutex_);
-        overtaken = finished_;
+        already_finished = finished_;
         number = ++attempts_;
-        if (!overtaken) {
-            running_[number] = {slot.id, steady::now()};
+        if (!already_finished) {
+            running_[number] = {endpoint.id, steady::now()};
         }
         if (group_->limited()) {
-            work_.tried.insert(slot.id);
+            work_.tried.insert(endpoint.id);
         }
-        span_.note("placed", slot.id);
+        span_.note("placed", endpoint.id);
     }
-    if (overtaken) {
-        group_->release(slot.id);
+    if (already_finished) {
+        group_->release(endpoint.id);
         return;
     }
     target::v1::CallRequest forward;
@@ -92,12 +93,13 @@
     wire::call_options options;
     options.timeout = std::max(milliseconds{1}, remaining(steady::now(), deadline_));
     options.trace = span_.context();
-    // After a broken connection others of the pool may be broken too; a new one tells a lost target by
-    // refusing, which is known not to have run the call.
+    // After one broken connection other pooled ones may be broken too. A new connection to a lost target is
+    // refused, which proves that the call did not run.
     options.fresh_connection = number > 1;
     auto self = shared_from_this();
     auto cancel = wire::call<target::v1::CallReply>(
-        *context_.targets.at(slot.address), wire::method<target::v1::PlainService>("Call"), forward, options,
+        *context_.targets.at(endpoint.address), wire::method<target::v1::PlainService>("Call"), forward,
+        options,
         [self, number](const result<target::v1::CallReply>& answer) { self->on_answer(number, answer); });
     {
         const std::lock_guard lock(mutex_);
@@ -107,16 +109,16 @@
         }
         found->second.cancel = std::move(cancel);
     }
-    // A second run of a call that is not idempotent is what must never happen.
-    if (group_->limited() && request_.idempotent() && number < most_attempts) {
+    // A call that is not idempotent must never run twice.
+    if (group_->limited() && request_.idempotent() && number < max_attempts) {
         arm_hedge(number);
     }
 }
 
-// An open connection can go silent for good while the target and new connections work, and a target can be
-// paused. Waiting for the deadline would make the caller late; the call is idempotent, so another target is
-// asked as well once the answer is later than nearly all others, within the retry budget. The first attempt
-// is left to run: it may only be slow, and giving it up would lose the work.
+// A connection can hang while the target and new connections work, and a target can be paused. Rather than
+// wait for the deadline, an idempotent call is also sent to another target once the answer is later than
+// nearly all others, within the retry budget. The first attempt continues: it may only be slow, and
+// cancelling it would lose its work.
 void plain_call::arm_hedge(int number)
 {
     const auto delay = group_->hedge_delay();
@@ -139,21 +141,21 @@
         }
         span_.note("hedged", running_[number].target);
     }
-    launch_again();
+    retry();
 }
 
-bool plain_call::launch_again()
+bool plain_call::retry()
 {
     policy::work wanted;
     {
         const std::lock_guard lock(mutex_);
         wanted = work_;
     }
-    const auto slot = group_->retry(wanted);
-    if (!slot) {
+    const auto endpoint = group_->retry(wanted);
+    if (!endpoint) {
         return false;
     }
-    launch(*slot);
+    launch(*endpoint);
     return true;
 }
 
@@ -165,21 +167,21 @@
         const std::lock_guard lock(mutex_);
         auto found = running_.extract(number);
         if (found.empty()) {
-            return; // given up for another's answer
+            return; // cancelled: another attempt answered
         }
         ended = std::move(found.mapped());
         others_running = !running_.empty();
     }
-    auto outcome = checked(answer, request_, ended.target);
-    const auto kind = ok(outcome) ? policy::attempt_result::answered : ending_of(failure(outcome));
-    group_->release(ended.target, {kind, steady::now() - ended.began});
+    auto outcome = validate(answer, request_, ended.target);
+    const auto kind = ok(outcome) ? policy::attempt_result::answered : attempt_result_of(failure(outcome));
+    group_->release(ended.target, {kind, steady::now() - ended.started_at});
     if (ok(outcome)) {
         context_.directory.quarantine().on_answer(fingerprint_);
         finish(std::move(outcome));
         return;
     }
     if (looks_like_crash(failure(outcome))) {
-        context_.directory.quarantine().on_crash(fingerprint_, ended.target, ended.began);
+        context_.directory.quarantine().on_crash(fingerprint_, ended.target, ended.started_at);
     }
     on_failure(failure(outcome), others_running);
 }
@@ -189,23 +191,23 @@
     error last = failure;
     {
         const std::lock_guard lock(mutex_);
-        ran_ = worse(ran_, failure.ran);
+        ran_ = more_certain(ran_, failure.ran);
         last.ran = ran_;
         span_.note("attempt_failed", describe(failure));
     }
-    if (others_running || (may_try_again(failure) && launch_again())) {
+    if (others_running || (may_retry(failure) && retry())) {
         return;
     }
     finish(std::move(last));
 }
 
-bool plain_call::may_try_again(const error& failure)
+bool plain_call::may_retry(const error& failure)
 {
     const std::lock_guard lock(mutex_);
-    const bool attempts_left = attempts_ < most_attempts || !group_->limited();
+    const bool attempts_left = attempts_ < max_attempts || !group_->limited();
     const bool in_time = steady::now() < deadline_;
-    const bool held = !ok(context_.directory.quarantine().check(fingerprint_));
-    return attempts_left && in_time && !held && policy::retry_is_safe(failure, request_.idempotent());
+    const bool quarantined = !ok(context_.directory.quarantine().check(fingerprint_));
+    return attempts_left && in_time && !quarantined && policy::retry_is_safe(failure, request_.idempotent());
 }
 
 void plain_call::finish(result<v1::CallReply> outcome)
@@ -218,13 +220,13 @@
         span_.note("outcome", ok(outcome) ? "ok" : describe(failure(outcome)));
         span_.end();
     }
-    give_up_others();
+    cancel_others();
     on_done_(std::move(outcome));
 }
 
-// An attempt that was overtaken was later than nearly all answers: it counts as failed, so that a silent
-// connection's target is soon left alone.
-void plain_call::give_up_others()
+// An attempt that was hedged and is still running is later than nearly all answers. It counts as failed, so
+// that a target behind a hung connection is soon avoided.
+void plain_call::cancel_others()
 {
     std::map<int, attempt> others;
     int latest = 0;
@@ -235,7 +237,7 @@
     }
     for (auto& [number, other] : others) {
         const auto kind = number < latest ? policy::attempt_result::failed : policy::attempt_result::unknown;
-        group_->release(other.target, {kind, steady::now() - other.began});
+        group_->release(other.target, {kind, steady::now() - other.started_at});
         if (other.cancel) {
             other.cancel();
         }
--- a/src/entry/plain_call.hpp
+++ b/src/entry/plain_call.hpp
@@ -1,5 +1,5 @@
-/// One idempotent call to a plain service: admitted, placed, checked, and tried elsewhere within its
-/// deadline.
+/// One call to a plain service: admits, places and validates it; retries and hedges it within its deadline
+/// where that is safe.
 #ifndef VANILLAGAUGE_ENTRY_PLAIN_CALL_HPP
 #define VANILLAGAUGE_ENTRY_PLAIN_CALL_HPP
 
@@ -29,7 +29,7 @@
 private:
     struct attempt {
         std::string target;
-        time_point began;
+        time_point started_at;
         wire::call_cancel cancel{};
     };
 
@@ -41,22 +41,22 @@
     observe::span span_;
     completion on_done_;
 
-    std::mutex mutex_; ///< of what follows; never held while calling out
+    std::mutex mutex_; ///< guards the members below; never held while calling other objects
     policy::work work_;
     std::map<int, attempt> running_;
     int attempts_ = 0;
     bool finished_ = false;
     run_state ran_ = run_state::not_run;
 
-    void launch(const node::target_group::slot& slot);
+    void launch(const node::target_group::endpoint& endpoint);
     void arm_hedge(int number);
     void hedge(int number);
-    bool launch_again();
+    bool retry();
     void on_answer(int number, const result<target::v1::CallReply>& answer);
     void on_failure(const error& failure, bool others_running);
-    bool may_try_again(const error& failure);
+    bool may_retry(const error& failure);
     void finish(result<v1::CallReply> outcome);
-    void give_up_others();
+    void cancel_others();
 };
 
 } // namespace vanillagauge::entry
--- a/src/entry/streamed_generate.cpp
+++ b/src/entry/streamed_generate.cpp
@@ -6,11 +6,11 @@
 namespace vanillagauge::entry {
 namespace {
 
-constexpr int most_attempts = 3;
+constexpr int max_attempts = 3;
 constexpr milliseconds progress_timeout{2000};
-/// What engines cache is shared by prompts that begin alike; the rest of a prompt is its own.
+/// Bytes at the start of a prompt that identify a prefix shared in the engines' caches.
 constexpr std::size_t prefix_length = 64;
-/// Tokens that count as one unit of work between callers.
+/// Tokens per unit of cost in fair queueing between callers.
 constexpr double tokens_per_cost = 64;
 
 std::uint64_t prefix_of(const v1::GenerateRequest& request)
@@ -24,7 +24,7 @@
                                      v1::GenerateRequest request, time_point deadline,
                                      const observe::trace_context& trace, on_chunk chunk, completion on_done)
     : context_(context), group_(std::move(group)), request_(std::move(request)), deadline_(deadline),
-      span_(trace, "entry.generate"), chunk_(std::move(chunk)), on_done_(std::move(on_done)),
+      span_(trace, "entry.generate"), on_chunk_(std::move(chunk)), on_done_(std::move(on_done)),
       fingerprint_(policy::request_fingerprint(request_.deployment(), request_.adapter(), request_.prompt()))
 {
     span_.note("request_id", request_.request_id());
@@ -37,59 +37,58 @@
 
 void streamed_generate::start()
 {
-    const auto held = context_.directory.quarantine().check(fingerprint_);
-    if (!ok(held)) {
-        finish(failure(held));
+    const auto quarantine_check = context_.directory.quarantine().check(fingerprint_);
+    if (!ok(quarantine_check)) {
+        finish(failure(quarantine_check));
         return;
     }
     auto self = shared_from_this();
-    group_->submit(work_, [self](const result<node::target_group::slot>& slot) {
-        if (ok(slot)) {
-            self->launch(value(slot));
+    group_->submit(work_, [self](const result<node::target_group::endpoint>& endpoint) {
+        if (ok(endpoint)) {
+            self->launch(value(endpoint));
         }
         else {
-            self->finish(failure(slot));
+            self->finish(failure(endpoint));
         }
     });
 }
 
-void streamed_generate::launch(const node::target_group::slot& slot)
+void streamed_generate::launch(const node::target_group::endpoint& endpoint)
 {
     ++attempts_;
-    began_ = steady::now();
+    started_at_ = steady::now();
     first_chunk_ = {};
-    work_.tried.insert(slot.id);
-    span_.note("placed", slot.id);
+    work_.tried.insert(endpoint.id);
+    span_.note("placed", endpoint.id);
     target::v1::GenerateRequest forward;
     forward.set_request_id(request_.request_id());
     forward.set_prompt(request_.prompt());
     forward.set_max_tokens(request_.max_tokens());
     forward.set_adapter(request_.adapter());
-    // An engine that broke off in the middle is followed by another that resumes the text, so that the
-    // caller's stream goes on without a repeated or missing token.
+    // After a failure another engine resumes the text, so that the caller's stream continues without a
+    // repeated or missing token.
     forward.set_resume_text(text_);
     forward.set_resume_tokens(tokens_);
     next_sequence_ = 0;
     wire::call_options options;
-    options.timeout = std::max(milliseconds{1}, remaining(began_, deadline_));
+    options.timeout = std::max(milliseconds{1}, remaining(started_at_, deadline_));
     options.progress_timeout = progress_timeout;
     options.trace = span_.context();
-    options.fresh_connection = attempts_ > 1; // others of the pool may be broken too
+    options.fresh_connection = attempts_ > 1; // other pooled connections may be broken too
     auto self = shared_from_this();
     auto cancel = wire::stream<target::v1::GenerateChunk>(
-        *context_.targets.at(slot.address), wire::method<target::v1::Engine>("Generate"), forward, options,
-        [self](const target::v1::GenerateChunk& chunk) { self->take(chunk); },
-        [self, id = slot.id](const result<done>& outcome) { self->on_end(id, outcome); });
+        *context_.targets.at(endpoint.address), wire::method<target::v1::Engine>("Generate"), forward,
+        options, [self](const target::v1::GenerateChunk& chunk) { self->receive(chunk); },
+        [self, id = endpoint.id](const result<done>& outcome) { self->on_end(id, outcome); });
     const std::lock_guard lock(mutex_);
     cancel_ = std::move(cancel);
 }
 
-// A caller that hangs up in the middle would leave its engine at work to the last token for nobody, and under
-// a surge impatient callers would take the engines from the patient ones. The closed connection tells the
-// engine to stop.
+// Without this an engine would generate to the last token for a disconnected caller, and under overload such
+// callers would take capacity from the waiting ones. Closing the connection stops the engine.
 void streamed_generate::stop_engine()
 {
-    caller_gone_ = true;
+    caller_disconnected_ = true;
     wire::call_cancel cancel;
     {
         const std::lock_guard lock(mutex_);
@@ -100,95 +99,99 @@
     }
 }
 
-void streamed_generate::take(const target::v1::GenerateChunk& chunk)
+void streamed_generate::receive(const target::v1::GenerateChunk& chunk)
 {
-    if (crossed_ || whole_ || caller_gone_) {
+    if (mismatched_ || complete_ || caller_disconnected_) {
         return;
     }
     if (first_chunk_ == duration::zero()) {
-        first_chunk_ = steady::now() - began_;
+        first_chunk_ = steady::now() - started_at_;
     }
     if (chunk.request_id() != request_.request_id() || chunk.sequence() != next_sequence_) {
-        crossed_ = true;
+        mismatched_ = true;
         return;
     }
     ++next_sequence_;
     text_ += chunk.text();
     tokens_ += chunk.tokens();
-    whole_ = chunk.done() && chunk.total_tokens() == tokens_;
-    crossed_ = chunk.done() && !whole_;
+    complete_ = chunk.done() && chunk.total_tokens() == tokens_;
+    mismatched_ = chunk.done() && !complete_;
     v1::GenerateChunk out;
     out.set_request_id(chunk.request_id());
     out.set_text(chunk.text());
     out.set_tokens(chunk.tokens());
     out.set_version(chunk.version());
-    if (whole_) {
+    if (complete_) {
         out.set_done(true);
         out.set_total_tokens(tokens_);
         out.set_digest(digest(text_));
     }
-    if (!crossed_ && !chunk_(out) && !whole_) {
+    if (!mismatched_ && !on_chunk_(out) && !complete_) {
         stop_engine();
     }
 }
 
-// The time to the first chunk shows how loaded an engine is; the time to the last shows how long the text is.
+// Reports the time to the first chunk: it reflects the engine's load, whereas the total time reflects the
+// length of the text.
 void streamed_generate::report(const std::string& target, const result<done>& outcome)
 {
     const bool begun = first_chunk_ != duration::zero();
     const bool timed_out_begun =
         begun && !ok(outcome) && failure(outcome).code == error_code::deadline_exceeded;
-    const bool good = whole_ || timed_out_begun;
-    const auto kind = good ? policy::attempt_result::answered
-                           : (ok(outcome) ? policy::attempt_result::failed : ending_of(failure(outcome)));
+    const bool good = complete_ || timed_out_begun;
+    const auto kind =
+        good ? policy::attempt_result::answered
+             : (ok(outcome) ? policy::attempt_result::failed : attempt_result_of(failure(outcome)));
     group_->release(target, {kind, first_chunk_});
-    if (whole_) {
+    if (complete_) {
         context_.directory.quarantine().on_answer(fingerprint_);
     }
     else if (!ok(outcome) && looks_like_crash(failure(outcome))) {
-        context_.directory.quarantine().on_crash(fingerprint_, target, began_);
+        context_.directory.quarantine().on_crash(fingerprint_, target, started_at_);
     }
 }
 
 void streamed_generate::on_end(const std::string& target, const result<done>& outcome)
 {
     report(target, outcome);
-    if (whole_) {
+    if (complete_) {
         finish(done{});
         return;
     }
-    if (caller_gone_) {
-        finish(error{error_code::cancelled, run_state::ran, "the caller has gone"});
+    if (caller_disconnected_) {
+        finish(error{error_code::cancelled, run_state::ran, "the caller closed the connection"});
         return;
     }
-    if (crossed_) {
-        finish(error{error_code::incomplete, run_state::ran, "the engine's stream is not whole"});
+    if (mismatched_) {
+        finish(error{error_code::incomplete, run_state::ran,
+                     "the engine's stream is inconsistent: wrong request, sequence number or token count"});
         return;
     }
-    auto seen = ok(outcome) ? error{error_code::incomplete, run_state::ran, "the engine's stream ended early"}
-                            : failure(outcome);
-    ran_ = worse(ran_, tokens_ > 0 ? run_state::ran : seen.ran);
-    if (launch_again(seen)) {
+    auto last_error = ok(outcome)
+                          ? error{error_code::incomplete, run_state::ran, "the engine's stream ended early"}
+                          : failure(outcome);
+    ran_ = more_certain(ran_, tokens_ > 0 ? run_state::ran : last_error.ran);
+    if (retry(last_error)) {
         return;
     }
-    seen.ran = ran_;
-    finish(seen);
+    last_error.ran = ran_;
+    finish(last_error);
 }
 
-// A generation has no effect outside its answer, so it may always go on elsewhere.
-bool streamed_generate::launch_again(const error& failure)
+// A generation has no side effects, so it may always be resumed at another engine.
+bool streamed_generate::retry(const error& failure)
 {
-    const bool held = !ok(context_.directory.quarantine().check(fingerprint_));
+    const bool quarantined = !ok(context_.directory.quarantine().check(fingerprint_));
     const bool in_time = steady::now() < deadline_;
-    if (held || !in_time || attempts_ >= most_attempts || !policy::retry_is_safe(failure, true)) {
+    if (quarantined || !in_time || attempts_ >= max_attempts || !policy::retry_is_safe(failure, true)) {
         return false;
     }
-    const auto slot = group_->retry(work_);
-    if (!slot) {
+    const auto endpoint = group_->retry(work_);
+    if (!endpoint) {
         return false;
     }
     span_.note("resumed_after", describe(failure));
-    launch(*slot);
+    launch(*endpoint);
     return true;
 }
 
--- a/src/node/channel_pool.hpp
+++ b/src/node/channel_pool.hpp
@@ -1,4 +1,4 @@
-/// Channels by address, made at first use and shared.
+/// Shared channels by address, created at first use.
 #ifndef VANILLAGAUGE_NODE_CHANNEL_POOL_HPP
 #define VANILLAGAUGE_NODE_CHANNEL_POOL_HPP
 
@@ -15,21 +15,21 @@
 
 class channel_pool {
 public:
-    using maker = std::function<std::shared_ptr<wire::channel>(const std::string& address)>;
+    using factory = std::function<std::shared_ptr<wire::channel>(const std::string& address)>;
 
-    explicit channel_pool(maker make) : make_(std::move(make)) {}
+    explicit channel_pool(factory create) : factory_(std::move(create)) {}
 
     std::shared_ptr<wire::channel> at(const std::string& address);
 
 private:
-    maker make_;
+    factory factory_;
     std::mutex mutex_;
     std::map<std::string, std::shared_ptr<wire::channel>> channels_;
 };
 
-/// HTTP/1.1 with JSON, for targets and the platform.
+/// Channels with HTTP/1.1 and JSON, for targets and the platform.
 channel_pool http_channels(wire::event_loop& loop);
-/// HTTP/2, for our own processes.
+/// Channels with HTTP/2, for processes of this service.
 channel_pool peer_channels(wire::event_loop& loop);
 
 } // namespace vanillagauge::node
--- a/tests/entry/plain_call_tests.cpp
+++ b/tests/entry/plain_call_tests.cpp
@@ -11,7 +11,7 @@
 
 enum class behaviour { answers, silent, refuses, fails };
 
-/// A service on a real socket that answers, refuses without running, fails after running, or keeps silent.
+/// A service on a real socket that answers, refuses without running, fails after running, or never answers.
 class scripted_target final : public target::v1::PlainService {
 public:
     explicit scripted_target(behaviour mode) : mode_(mode)
@@ -36,14 +36,15 @@
     void Call(google::protobuf::RpcController* control, const target::v1::CallRequest* request,
               target::v1::CallReply* reply, google::protobuf::Closure* done) override
     {
-        ++asked_;
+        ++call_count_;
         if (mode_ == behaviour::silent) {
             const std::lock_guard lock(mutex_);
             silent_.push_back(done);
             return;
         }
         if (mode_ == behaviour::refuses) {
-            wire::from(control).fail({error_code::unavailable, run_state::not_run, "takes nothing"});
+            wire::from(control).fail(
+                {error_code::unavailable, run_state::not_run, "the target refuses all calls"});
         }
         if (mode_ == behaviour::fails) {
             wire::from(control).fail({error_code::internal, run_state::in_doubt, "the reply was lost"});
@@ -55,11 +56,11 @@
     }
 
     const std::string& address() const { return address_; }
-    int asked() const { return asked_; }
+    int call_count() const { return call_count_; }
 
 private:
     const behaviour mode_;
-    std::atomic<int> asked_{0};
+    std::atomic<int> call_count_{0};
     std::mutex mutex_;
     std::vector<google::protobuf::Closure*> silent_;
     wire::dispatcher calls_{wire::access_table{}};
@@ -67,8 +68,9 @@
     std::string address_;
 };
 
-/// An entry's parts before scripted targets. The first target is in the entry's domain, so it is asked first.
-struct front {
+/// The parts of an entry with scripted targets. The first target is in the entry's domain, so it is called
+/// first.
+struct entry_fixture {
     config::settings settings;
     std::list<scripted_target> targets;
     wire::event_loop loop;
@@ -77,7 +79,7 @@
     node::channel_pool channels = node::http_channels(loop);
     node::target_directory directory{loop, {}};
 
-    explicit front(std::initializer_list<behaviour> modes)
+    explicit entry_fixture(std::initializer_list<behaviour> modes)
     {
         settings.failure_domain = "near";
         settings.keeper.address = "127.0.0.1:1";
@@ -94,7 +96,7 @@
         directory.update(view);
     }
 
-    ~front() { loop.stop(); }
+    ~entry_fixture() { loop.stop(); }
 
     result<v1::CallReply> call(bool idempotent, milliseconds deadline)
     {
@@ -112,50 +114,49 @@
     }
 };
 
-// The connection to a target is open and silent. The caller of an idempotent call sees nothing of it: once
-// the answer is later than usual another target is asked, long before the deadline.
-TEST(plain_call, an_idempotent_call_goes_on_elsewhere_when_its_target_is_silent)
+// A target with an open connection never answers. The idempotent call is hedged to another target long before
+// its deadline.
+TEST(plain_call, hedges_idempotent_call_when_target_is_silent)
 {
-    front entry({behaviour::silent, behaviour::answers});
+    entry_fixture entry({behaviour::silent, behaviour::answers});
     const auto reply = entry.call(true, seconds{60});
     ASSERT_TRUE(ok(reply)) << describe(failure(reply));
     EXPECT_EQ(value(reply).target(), "t2");
 }
 
-// The same for a charge: the silent target may have run it, so no other target may be asked, hedge or retry.
-// The caller learns that it is in doubt.
-TEST(plain_call, a_call_that_is_not_idempotent_is_never_sent_twice)
+// A silent target may have run the call, so it must not be hedged or retried; the caller gets in_doubt.
+TEST(plain_call, never_sends_non_idempotent_call_twice)
 {
-    front entry({behaviour::silent, behaviour::answers});
+    entry_fixture entry({behaviour::silent, behaviour::answers});
     const auto reply = entry.call(false, milliseconds{1500});
     ASSERT_FALSE(ok(reply));
     EXPECT_EQ(failure(reply).ran, run_state::in_doubt);
-    EXPECT_EQ(entry.targets.front().asked(), 1);
-    EXPECT_EQ(entry.targets.back().asked(), 0);
+    EXPECT_EQ(entry.targets.front().call_count(), 1);
+    EXPECT_EQ(entry.targets.back().call_count(), 0);
 }
 
-TEST(plain_call, a_call_that_is_not_idempotent_goes_on_where_it_was_refused_as_not_run)
+TEST(plain_call, retries_non_idempotent_call_refused_as_not_run)
 {
-    front entry({behaviour::refuses, behaviour::answers});
+    entry_fixture entry({behaviour::refuses, behaviour::answers});
     const auto reply = entry.call(false, seconds{60});
     ASSERT_TRUE(ok(reply)) << describe(failure(reply));
-    EXPECT_EQ(entry.targets.back().asked(), 1);
+    EXPECT_EQ(entry.targets.back().call_count(), 1);
 }
 
-// The first target ran the call and lost its reply; the second refuses it as not run. To the caller the call
-// is in doubt: the refusal is of the second attempt alone.
-TEST(plain_call, a_refused_retry_does_not_hide_that_the_first_attempt_may_have_run)
+// The first target may have run the call but its reply is lost; the second refuses it as not_run. The call
+// stays in_doubt: the refusal covers the second attempt alone.
+TEST(plain_call, refused_retry_keeps_in_doubt_of_first_attempt)
 {
-    front entry({behaviour::fails, behaviour::refuses});
+    entry_fixture entry({behaviour::fails, behaviour::refuses});
     const auto reply = entry.call(true, seconds{60});
     ASSERT_FALSE(ok(reply));
     EXPECT_EQ(failure(reply).ran, run_state::in_doubt);
-    EXPECT_EQ(entry.targets.back().asked(), 1);
+    EXPECT_EQ(entry.targets.back().call_count(), 1);
 }
 
-TEST(plain_call, refused_by_every_target_it_is_not_run)
+TEST(plain_call, reports_not_run_when_every_target_refuses)
 {
-    front entry({behaviour::refuses, behaviour::refuses});
+    entry_fixture entry({behaviour::refuses, behaviour::refuses});
     const auto reply = entry.call(true, seconds{60});
     ASSERT_FALSE(ok(reply));
     EXPECT_EQ(failure(reply).ran, run_state::not_run);
