--- a/src/entry/claim_peer_service.cpp
+++ b/src/entry/claim_peer_service.cpp
@@ -32,7 +32,7 @@
                                  v1::ClaimVerdict* reply, google::protobuf::Closure* done)
 {
     const auto deadline = steady::now() + milliseconds{request->deadline_ms()};
-    calls_.call(*request, deadline, wire::from(control).call().trace,
+    calls_.call(*request, deadline, wire::controller_of(control).call().trace,
                 [reply, done, key = request->key()](const result<v1::CallReply>& answer) {
                     *reply = to_verdict(key, answer);
                     done->Run();
--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -53,7 +53,7 @@
     const auto found = locate(*view, {request->failure_domain(), request->caller(), context_.settings.vm,
                                       steady::now(), wall_milliseconds()});
     if (!ok(found)) {
-        wire::from(control).fail(failure(found));
+        wire::controller_of(control).fail(failure(found));
         done->Run();
         return;
     }
@@ -69,7 +69,7 @@
 void entry_service::Call(google::protobuf::RpcController* control, const v1::CallRequest* request,
                          v1::CallReply* reply, google::protobuf::Closure* done)
 {
-    auto& call = wire::from(control);
+    auto& call = wire::controller_of(control);
     const auto start = steady::now();
     const auto finish = [this, &call, reply, done, start](result<v1::CallReply> outcome) {
         context_.metrics.record("vg_entry_call_seconds", steady::now() - start);
@@ -101,7 +101,7 @@
 void entry_service::Generate(google::protobuf::RpcController* control, const v1::GenerateRequest* request,
                              v1::GenerateChunk* /*unused*/, google::protobuf::Closure* done)
 {
-    auto& call = wire::from(control);
+    auto& call = wire::controller_of(control);
     const auto refused = refusal_for(context_.directory, request->deployment(), config::target_kind::engine);
     const auto group = context_.directory.find(request->deployment());
     if (refused || !group) {
--- a/src/gateway/admission_queue.hpp
+++ b/src/gateway/admission_queue.hpp
@@ -4,7 +4,7 @@
 #define VANILLAGAUGE_GATEWAY_ADMISSION_QUEUE_HPP
 
 #include "gateway/target_registry.hpp"
-#include "net/signal.hpp"
+#include "net/async_condition.hpp"
 #include "policy/scheduler.hpp"
 
 #include <map>
@@ -39,7 +39,7 @@
         std::optional<result<std::string>> outcome;
     };
     policy::scheduler scheduler_;
-    net::signal changed_;
+    net::async_condition changed_;
     std::map<std::uint64_t, waiter> waiters_;
 
     void advance();
--- a/src/gateway/batch_runner.hpp
+++ b/src/gateway/batch_runner.hpp
@@ -8,7 +8,7 @@
 #include "gateway/object_store.hpp"
 #include "gateway/target_protocol.hpp"
 #include "gateway/target_registry.hpp"
-#include "net/signal.hpp"
+#include "net/async_condition.hpp"
 #include "observe/metrics.hpp"
 
 #include <map>
--- a/src/gateway/batch_runner_items.cpp
+++ b/src/gateway/batch_runner_items.cpp
@@ -49,7 +49,7 @@
     observe::span hop(observe::trace_of(batch->progress.header().id), "item_run");
     hop.note("request_id", batch->progress.items()[index].item.id);
     hop.note("replica", engine->info.instance_id());
-    auto taken = co_await engine->pool.take(steady::now() + connect_timeout);
+    auto taken = co_await engine->pool.acquire(steady::now() + connect_timeout);
     if (auto* connection = std::get_if<std::shared_ptr<net::http_connection>>(&taken)) {
         run->connection = *connection;
         if (!batch->ended && batch->progress.items()[index].state == work_state::running) {
@@ -187,7 +187,7 @@
         const auto status = head->status;
         const auto rest = co_await connection.read_body(64U << 10U, steady::now() + connect_timeout);
         if (std::holds_alternative<std::string>(rest)) {
-            engine->pool.give_back(run->connection, idle);
+            engine->pool.release(run->connection, idle);
         }
         handle_failure(*batch, index, engine, status, marks.not_run);
         co_return;
@@ -204,7 +204,7 @@
     }
     const bool complete = co_await read_events(batch, index, run);
     if (complete) {
-        engine->pool.give_back(run->connection, idle);
+        engine->pool.release(run->connection, idle);
         co_return;
     }
     connection.close();
@@ -227,7 +227,7 @@
         if (bytes == nullptr || progress.items()[index].state != work_state::running) {
             break;
         }
-        for (const auto& event : reader.take(bytes->bytes)) {
+        for (const auto& event : reader.feed(bytes->bytes)) {
             const auto broken = progress.append_event(index, event, protocol_.weights_version(event));
             if (broken != run_rejection::none) {
                 progress.discard_text(index);
@@ -241,7 +241,7 @@
             run->received_event = true;
             run->last_event = now;
         }
-        if (bytes->last && !reader.mid_event()) {
+        if (bytes->last && !reader.has_partial_event()) {
             engine->record_version(progress.header().model, progress.items()[index].current_version);
             log_completed(progress, index, *run);
             progress.complete(index);
--- a/src/gateway/feed.hpp
+++ b/src/gateway/feed.hpp
@@ -3,7 +3,7 @@
 #define VANILLAGAUGE_GATEWAY_FEED_HPP
 
 #include "gateway/object_store.hpp"
-#include "net/signal.hpp"
+#include "net/async_condition.hpp"
 
 #include <deque>
 #include <functional>
--- a/src/gateway/feed_sync.hpp
+++ b/src/gateway/feed_sync.hpp
@@ -61,9 +61,9 @@
     policy::quarantine& crashes_;
     std::map<std::string, crash_revisions> crash_revisions_; ///< by the other gateway's address
     std::vector<synced_feed> feeds_;
-    net::signal changed_;
-    net::signal watch_ended_; ///< a watch has its answer, or the store was found silent
-    std::string source_;      ///< where news came from last: "store", a relay's address, or nothing
+    net::async_condition changed_;
+    net::async_condition watch_ended_; ///< a watch has its answer, or the store was found silent
+    std::string source_;               ///< where news came from last: "store", a relay's address, or nothing
     std::size_t next_peer_ = 0;
     time_point last_failure_{};
     bool store_down_ = false;
--- a/src/gateway/forwarder.cpp
+++ b/src/gateway/forwarder.cpp
@@ -120,7 +120,7 @@
 {
     auto current = begin(chosen, request);
     current.answer = &answer;
-    answer.on_client_gone([this, &current] { cancel(current); });
+    answer.on_client_disconnect([this, &current] { cancel(current); });
     auto outcome = co_await run(current);
     co_await send_outcome(current, std::move(outcome));
 }
--- a/src/gateway/forwarder_attempts.cpp
+++ b/src/gateway/forwarder_attempts.cpp
@@ -18,7 +18,7 @@
     net::http_fields kept;
     const auto connection = fields.find("Connection");
     for (const auto& field : fields.all()) {
-        if (!net::concerns_connection(field.name, connection)) {
+        if (!net::is_hop_by_hop(field.name, connection)) {
             kept.add(field.name, field.value);
         }
     }
@@ -87,7 +87,7 @@
     // A pooled connection may be closed by the replica while the request is under way, which leaves open
     // whether it ran; only what may run again takes that chance, and nothing that may have crashed a replica.
     const bool may_reuse = current.repeatable() && !crashes_.is_suspect(current.fingerprint, steady::now());
-    auto connecting = may_reuse ? at->pool.take(until) : at->pool.take_new(until);
+    auto connecting = may_reuse ? at->pool.acquire(until) : at->pool.acquire_new(until);
     auto taken = co_await std::move(connecting);
     if (const auto* failed = std::get_if<net::http_failure>(&taken)) {
         outcome.result = connection_error(*failed, current.repeatable());
@@ -154,9 +154,9 @@
             if (!outcome.not_run) {
                 crashes_.on_answer(current.fingerprint, steady::now());
             }
-            at->pool.give_back(connection, head.keep_alive
-                                               ? net::idle_time_of(head.fields, default_idle_timeout)
-                                               : duration{0});
+            at->pool.release(connection, head.keep_alive
+                                             ? net::idle_time_of(head.fields, default_idle_timeout)
+                                             : duration{0});
         }
     }
     current.connection.reset();
@@ -219,7 +219,7 @@
         }
         auto& piece = std::get<net::body_piece>(read);
         auto text = current.chosen.resumable ? events.take(piece.bytes) : std::move(piece.bytes);
-        for (const auto& event : reader.take(text)) {
+        for (const auto& event : reader.feed(text)) {
             any_event = true;
             current.last_event = event.id ? event.id : current.last_event;
         }
--- a/src/gateway/internal/batch_attempt.hpp
+++ b/src/gateway/internal/batch_attempt.hpp
@@ -3,7 +3,7 @@
 #define VANILLAGAUGE_GATEWAY_INTERNAL_BATCH_ATTEMPT_HPP
 
 #include "gateway/batch_service.hpp"
-#include "net/signal.hpp"
+#include "net/async_condition.hpp"
 
 #include <optional>
 
@@ -15,7 +15,7 @@
     batch_submission submission;
     bool storing_header = false; ///< the header, with its owner, is being written
     std::optional<result<done>> outcome{};
-    net::signal changed;
+    net::async_condition changed;
     bool speculative = false; ///< the batch may run before it is stored
 };
 
--- a/src/gateway/internal/batch_run.hpp
+++ b/src/gateway/internal/batch_run.hpp
@@ -23,7 +23,7 @@
     }
 
     batch_progress progress;
-    net::signal changed;
+    net::async_condition changed;
     std::map<std::size_t, std::shared_ptr<item_run>> item_runs;               ///< by item index
     std::map<std::size_t, std::shared_ptr<cancellation_token>> scoring_calls; ///< by item index
     bool stored = true; ///< false while the batch is speculative
--- a/src/gateway/peer_relay.cpp
+++ b/src/gateway/peer_relay.cpp
@@ -78,7 +78,7 @@
     if (!pool) {
         pool = std::make_unique<net::connection_pool>(loop_, address);
     }
-    auto taken = co_await pool->take(until);
+    auto taken = co_await pool->acquire(until);
     if (const auto* failure = std::get_if<net::http_failure>(&taken)) {
         co_return unavailable(run_state::not_run, failure->detail);
     }
@@ -92,7 +92,7 @@
     if (const auto* failure = std::get_if<net::http_failure>(&answer)) {
         co_return unavailable(run_state::in_doubt, failure->detail);
     }
-    pool->give_back(connection, idle_time);
+    pool->release(connection, idle_time);
     const auto& response = std::get<net::http_response>(answer);
     auto parsed = json::parse(response.body, nullptr, false);
     if (response.status != 200 || parsed.is_discarded()) {
--- a/src/gateway/weights_updater.cpp
+++ b/src/gateway/weights_updater.cpp
@@ -50,7 +50,7 @@
         co_return error{error_code::unavailable, run_state::in_doubt, failed->detail};
     }
     auto& response = std::get<net::http_response>(answer);
-    engine->pool.give_back(connection, net::idle_time_of(response.fields, default_idle_time));
+    engine->pool.release(connection, net::idle_time_of(response.fields, default_idle_time));
     co_return std::move(response);
 }
 
@@ -298,7 +298,7 @@
 net::task_of<engine_report> weights_updater::request_report(target_ref engine)
 {
     const auto until = steady::now() + call_timeout;
-    auto taken = co_await engine->pool.take(until);
+    auto taken = co_await engine->pool.acquire(until);
     if (const auto* failed = std::get_if<net::http_failure>(&taken)) {
         co_return error{error_code::unavailable, run_state::not_run, failed->detail};
     }
@@ -314,7 +314,7 @@
 net::task_of<order_outcome> weights_updater::send_order(target_ref engine, load_order order)
 {
     const auto until = steady::now() + call_timeout;
-    auto taken = co_await engine->pool.take(until);
+    auto taken = co_await engine->pool.acquire(until);
     if (const auto* failed = std::get_if<net::http_failure>(&taken)) {
         co_return error{error_code::unavailable, run_state::not_run, failed->detail};
     }
@@ -323,7 +323,7 @@
     const auto fencing_token =
         was_suspended() || stopped_ ? std::nullopt : lease_.fencing_token(steady::now());
     if (!fencing_token) {
-        engine->pool.give_back(connection, seconds(1));
+        engine->pool.release(connection, seconds(1));
         co_return error{error_code::conflict, run_state::not_run, "the lease has expired"};
     }
     order.fencing_token = *fencing_token;
--- a/src/keeper/local_service.cpp
+++ b/src/keeper/local_service.cpp
@@ -100,7 +100,7 @@
                 reply->set_version(value(stored).version);
             }
             else {
-                wire::from(control).fail(failure(stored));
+                wire::controller_of(control).fail(failure(stored));
             }
             done->Run();
         },
@@ -114,7 +114,7 @@
         request->kind(), request->name(),
         [control, reply, done](const result<std::optional<objects::stored_object>>& found) {
             if (!ok(found)) {
-                wire::from(control).fail(failure(found));
+                wire::controller_of(control).fail(failure(found));
             }
             else if (value(found)) {
                 const auto& item = *value(found);
--- a/src/keeper/operator_service.cpp
+++ b/src/keeper/operator_service.cpp
@@ -44,7 +44,7 @@
     const std::string spec = to_json(wanted.spec());
     const auto checked = config::check_object(wanted.kind(), wanted.name(), spec);
     if (!ok(checked)) {
-        wire::from(control).fail(failure(checked));
+        wire::controller_of(control).fail(failure(checked));
         done->Run();
         return;
     }
@@ -54,7 +54,7 @@
                                  wait](const objects::write_outcome& outcome) {
         const auto stored = objects::settled(outcome, change.expected_version);
         if (!ok(stored)) {
-            wire::from(control).fail(failure(stored));
+            wire::controller_of(control).fail(failure(stored));
             done->Run();
             return;
         }
@@ -88,7 +88,7 @@
 {
     const objects::write change{request->kind(), request->name(), "{}", request->version(), true};
     if (!is_config_kind(request->kind())) {
-        wire::from(control).fail(not_found(request->kind(), request->name()));
+        wire::controller_of(control).fail(not_found(request->kind(), request->name()));
         done->Run();
         return;
     }
@@ -100,7 +100,7 @@
             reply->set_version(value(stored).version);
         }
         else {
-            wire::from(control).fail(failure(stored));
+            wire::controller_of(control).fail(failure(stored));
         }
         done->Run();
     });
@@ -114,7 +114,7 @@
         *reply->mutable_object() = to_operator_object(*found);
     }
     else {
-        wire::from(control).fail(not_found(request->kind(), request->name()));
+        wire::controller_of(control).fail(not_found(request->kind(), request->name()));
     }
     done->Run();
 }
@@ -158,7 +158,7 @@
 {
     const auto lines = explain(state_, request->subject());
     if (!ok(lines)) {
-        wire::from(control).fail(failure(lines));
+        wire::controller_of(control).fail(failure(lines));
         done->Run();
         return;
     }
@@ -184,7 +184,7 @@
                                 config::object_source::store);
         }
         else {
-            wire::from(control).fail(failure(stored));
+            wire::controller_of(control).fail(failure(stored));
         }
         done->Run();
     });
--- /dev/null
+++ b/src/net/async_condition.cpp
@@ -0,0 +1,44 @@
+#include "net/async_condition.hpp"
+
+#include <boost/asio/redirect_error.hpp>
+#include <boost/asio/use_awaitable.hpp>
+
+#include <list>
+
+namespace vanillagauge::net {
+
+using boost::asio::redirect_error;
+using boost::asio::steady_timer;
+using boost::asio::use_awaitable;
+
+async_condition::async_condition(loop& where) : loop_(where) {}
+
+void async_condition::notify()
+{
+    if (timer_) {
+        timer_->cancel();
+        timer_.reset();
+    }
+}
+
+// One timer serves all waiters of a turn, so it is set to the earliest of their times; the others find their
+// condition unmet and wait again.
+task<void> async_condition::wait_until(time_point until)
+{
+    if (!timer_) {
+        timer_ = std::make_shared<steady_timer>(loop_, until);
+    }
+    else if (until < timer_->expiry()) {
+        const auto earlier = std::make_shared<steady_timer>(loop_, until);
+        timer_->cancel();
+        timer_ = earlier;
+    }
+    const auto timer = timer_;
+    boost::system::error_code ended;
+    co_await timer->async_wait(redirect_error(use_awaitable, ended));
+    if (timer_ == timer) {
+        timer_.reset();
+    }
+}
+
+} // namespace vanillagauge::net
--- a/src/net/signal.hpp
+++ b/src/net/async_condition.hpp
@@ -1,6 +1,6 @@
 /// Wakes tasks of one loop that wait for something to change.
-#ifndef VANILLAGAUGE_NET_SIGNAL_HPP
-#define VANILLAGAUGE_NET_SIGNAL_HPP
+#ifndef VANILLAGAUGE_NET_ASYNC_CONDITION_HPP
+#define VANILLAGAUGE_NET_ASYNC_CONDITION_HPP
 
 #include "net/task.hpp"
 
@@ -11,9 +11,9 @@
 namespace vanillagauge::net {
 
 /// All waiters wake at each `notify`; a waiter checks its condition again. Belongs to the loop's thread.
-class signal {
+class async_condition {
 public:
-    explicit signal(loop& where);
+    explicit async_condition(loop& where);
 
     void notify();
     /// Returns after the next `notify` or at `until`, whichever is first.
@@ -21,7 +21,7 @@
 
 private:
     loop& loop_;
-    std::shared_ptr<boost::asio::steady_timer> turn_; ///< expires at the next notify
+    std::shared_ptr<boost::asio::steady_timer> timer_; ///< expires at the next notify
 };
 
 } // namespace vanillagauge::net
--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -19,7 +19,7 @@
     std::erase_if(idle_, [now](const idle_connection& entry) { return now >= entry.expires; });
 }
 
-task<http_result<std::shared_ptr<http_connection>>> connection_pool::take(time_point until)
+task<http_result<std::shared_ptr<http_connection>>> connection_pool::acquire(time_point until)
 {
     drop_expired();
     while (!idle_.empty()) {
@@ -29,10 +29,10 @@
             co_return connection;
         }
     }
-    co_return co_await take_new(until);
+    co_return co_await acquire_new(until);
 }
 
-task<http_result<std::shared_ptr<http_connection>>> connection_pool::take_new(time_point until)
+task<http_result<std::shared_ptr<http_connection>>> connection_pool::acquire_new(time_point until)
 {
     auto connection = std::make_shared<http_connection>(*loop_);
     auto connected = co_await connection->connect(address_, until);
@@ -42,7 +42,7 @@
     co_return connection;
 }
 
-void connection_pool::give_back(std::shared_ptr<http_connection> connection, duration idle_time)
+void connection_pool::release(std::shared_ptr<http_connection> connection, duration idle_time)
 {
     drop_expired();
     if (idle_time.count() > 0 && idle_.size() < most_idle && connection->reusable()) {
--- a/src/net/connection_pool.hpp
+++ b/src/net/connection_pool.hpp
@@ -14,11 +14,11 @@
     connection_pool(loop& where, std::string address) : loop_(&where), address_(std::move(address)) {}
 
     /// The connection used last that is still sound, or a new one.
-    task<http_result<std::shared_ptr<http_connection>>> take(time_point until);
+    task<http_result<std::shared_ptr<http_connection>>> acquire(time_point until);
     /// A connection that nobody used before.
-    task<http_result<std::shared_ptr<http_connection>>> take_new(time_point until);
+    task<http_result<std::shared_ptr<http_connection>>> acquire_new(time_point until);
     /// Keeps it for at most `idle_time`; a connection that is not reusable ends here.
-    void give_back(std::shared_ptr<http_connection> connection, duration idle_time);
+    void release(std::shared_ptr<http_connection> connection, duration idle_time);
     void clear() { idle_.clear(); }
 
     const std::string& address() const { return address_; }
--- a/src/net/event_stream.cpp
+++ b/src/net/event_stream.cpp
@@ -4,7 +4,7 @@
 
 namespace vanillagauge::net {
 
-std::vector<stream_event> event_reader::take(std::string_view bytes)
+std::vector<stream_event> event_reader::feed(std::string_view bytes)
 {
     std::vector<stream_event> whole;
     while (!bytes.empty()) {
@@ -17,13 +17,13 @@
         if (!line_.empty() && line_.back() == '\r') {
             line_.pop_back();
         }
-        take_line(whole);
+        parse_line(whole);
         line_.clear();
     }
     return whole;
 }
 
-void event_reader::take_line(std::vector<stream_event>& whole)
+void event_reader::parse_line(std::vector<stream_event>& whole)
 {
     if (line_.empty()) {
         if (has_data_ || current_.id) {
@@ -55,7 +55,7 @@
         }
     }
     else if (!name.empty()) {
-        current_.others.add(name, value);
+        current_.other_fields.add(name, value);
     }
 }
 
--- a/src/net/event_stream.hpp
+++ b/src/net/event_stream.hpp
@@ -14,16 +14,16 @@
 
 struct stream_event {
     std::optional<std::uint64_t> id;
-    std::string data;   ///< lines joined by line feeds
-    http_fields others; ///< lines with other names
+    std::string data;         ///< lines joined by line feeds
+    http_fields other_fields; ///< lines with other names
 };
 
 class event_reader {
 public:
     /// The events that became whole with these bytes. Comments and events without data and id are dropped.
-    std::vector<stream_event> take(std::string_view bytes);
+    std::vector<stream_event> feed(std::string_view bytes);
     /// Whether bytes of an event that is not whole stand here.
-    bool mid_event() const { return !line_.empty() || has_lines_; }
+    bool has_partial_event() const { return !line_.empty() || has_lines_; }
 
 private:
     std::string line_;
@@ -31,7 +31,7 @@
     bool has_data_ = false;
     bool has_lines_ = false;
 
-    void take_line(std::vector<stream_event>& whole);
+    void parse_line(std::vector<stream_event>& whole);
 };
 
 } // namespace vanillagauge::net
--- a/src/net/http_message.cpp
+++ b/src/net/http_message.cpp
@@ -43,7 +43,7 @@
 
 } // namespace
 
-bool equal_names(std::string_view left, std::string_view right)
+bool names_equal(std::string_view left, std::string_view right)
 {
     return std::equal(left.begin(), left.end(), right.begin(), right.end(),
                       [](char a, char b) { return lower(a) == lower(b); });
@@ -62,13 +62,13 @@
 
 void http_fields::erase(std::string_view name)
 {
-    std::erase_if(fields_, [name](const http_field& field) { return equal_names(field.name, name); });
+    std::erase_if(fields_, [name](const http_field& field) { return names_equal(field.name, name); });
 }
 
 std::string_view http_fields::find(std::string_view name) const
 {
     const auto found = std::find_if(fields_.begin(), fields_.end(), [name](const http_field& field) {
-        return equal_names(field.name, name);
+        return names_equal(field.name, name);
     });
     return found == fields_.end() ? std::string_view{} : std::string_view(found->value);
 }
@@ -76,22 +76,22 @@
 bool http_fields::contains(std::string_view name) const
 {
     return std::any_of(fields_.begin(), fields_.end(),
-                       [name](const http_field& field) { return equal_names(field.name, name); });
+                       [name](const http_field& field) { return names_equal(field.name, name); });
 }
 
-bool concerns_connection(std::string_view name, std::string_view connection_value)
+bool is_hop_by_hop(std::string_view name, std::string_view connection_value)
 {
     constexpr std::array<std::string_view, 9> hop_by_hop{
         "Connection",     "Keep-Alive", "Proxy-Connection",   "Transfer-Encoding",
         "Content-Length", "Upgrade",    "Proxy-Authenticate", "TE",
         "Trailer"};
     if (std::any_of(hop_by_hop.begin(), hop_by_hop.end(),
-                    [name](std::string_view hop) { return equal_names(hop, name); })) {
+                    [name](std::string_view hop) { return names_equal(hop, name); })) {
         return true;
     }
     while (!connection_value.empty()) {
         const auto comma = connection_value.find(',');
-        if (equal_names(trimmed(connection_value.substr(0, comma)), name)) {
+        if (names_equal(trimmed(connection_value.substr(0, comma)), name)) {
             return true;
         }
         connection_value =
--- a/src/net/http_message.hpp
+++ b/src/net/http_message.hpp
@@ -30,10 +30,10 @@
     std::vector<http_field> fields_;
 };
 
-bool equal_names(std::string_view left, std::string_view right);
+bool names_equal(std::string_view left, std::string_view right);
 
 /// Whether the field concerns one connection only, by its name or because `Connection` lists it.
-bool concerns_connection(std::string_view name, std::string_view connection_value);
+bool is_hop_by_hop(std::string_view name, std::string_view connection_value);
 
 struct http_request {
     std::string method = "GET";
--- a/src/net/http_service.cpp
+++ b/src/net/http_service.cpp
@@ -43,7 +43,7 @@
 task<bool> responder::write(std::string piece)
 {
     if (piece.empty()) {
-        co_return !connection_.gone();
+        co_return !connection_.client_disconnected();
     }
     std::array<char, 16> size{};
     const auto end = std::to_chars(size.data(), size.data() + size.size(), piece.size(), 16).ptr;
@@ -64,14 +64,14 @@
     connection_.abort();
 }
 
-bool responder::client_gone() const
+bool responder::client_disconnected() const
 {
-    return connection_.gone();
+    return connection_.client_disconnected();
 }
 
-void responder::on_client_gone(std::function<void()> callback)
+void responder::on_client_disconnect(std::function<void()> callback)
 {
-    connection_.on_gone(std::move(callback));
+    connection_.on_client_disconnect(std::move(callback));
 }
 
 http_service::http_service(loop& where, std::function<service_limits()> limits, http_handler handler)
@@ -131,12 +131,12 @@
     start(state_->context, state::end_idle(state_));
 }
 
-void http_service::give_up(const http_response& answer)
+void http_service::abort_requests(const http_response& answer)
 {
     state_->ending = answer;
     const auto open = state_->connections;
     for (auto* connection : open) {
-        connection->give_up(answer);
+        connection->abort_request(answer);
     }
 }
 
--- a/src/net/http_service.hpp
+++ b/src/net/http_service.hpp
@@ -37,9 +37,9 @@
     /// Ends the connection, so that an answer that has begun does not look whole.
     void abort();
 
-    bool client_gone() const;
+    bool client_disconnected() const;
     /// Called once, when the client closes before it has its answer. It ends with the request.
-    void on_client_gone(std::function<void()> callback);
+    void on_client_disconnect(std::function<void()> callback);
     bool answered() const { return answered_; }
 
 private:
@@ -67,7 +67,7 @@
     void close();
     /// From now on answers in place of the handlers, also what is under way; an answer that has begun goes
     /// on.
-    void give_up(const http_response& answer);
+    void abort_requests(const http_response& answer);
 
     std::size_t connections() const;
     /// Requests that were read and have no whole answer yet.
--- a/src/net/internal/service_connection.cpp
+++ b/src/net/internal/service_connection.cpp
@@ -177,7 +177,7 @@
         }
     }
     stage_ = stage::reading;
-    on_gone_ = nullptr;
+    on_disconnect_ = nullptr;
     --owner_->in_flight;
 }
 
@@ -198,31 +198,31 @@
                                         return;
                                     }
                                     if (seen <= 0) {
-                                        self->tell_gone();
+                                        self->notify_disconnect();
                                     }
                                 });
 }
 
-void service_connection::tell_gone()
+void service_connection::notify_disconnect()
 {
-    gone_ = true;
-    if (const auto tell = std::exchange(on_gone_, nullptr)) {
+    client_disconnected_ = true;
+    if (const auto tell = std::exchange(on_disconnect_, nullptr)) {
         tell();
     }
 }
 
-void service_connection::on_gone(std::function<void()> callback)
+void service_connection::on_client_disconnect(std::function<void()> callback)
 {
-    if (gone_) {
+    if (client_disconnected_) {
         callback();
         return;
     }
-    on_gone_ = std::move(callback);
+    on_disconnect_ = std::move(callback);
 }
 
 task<bool> service_connection::write_text(std::string text)
 {
-    if (aborted_ || gone_) {
+    if (aborted_ || client_disconnected_) {
         co_return false;
     }
     stream_.expires_after(owner_->limits().write_time);
@@ -246,7 +246,7 @@
 
 void service_connection::abort()
 {
-    if (stage_ == stage::given_up) {
+    if (stage_ == stage::aborted) {
         return;
     }
     aborted_ = true;
@@ -258,7 +258,7 @@
 
 bool service_connection::begin_answer()
 {
-    if (stage_ == stage::given_up) {
+    if (stage_ == stage::aborted) {
         return false;
     }
     stage_ = stage::answering;
@@ -292,7 +292,7 @@
 
 // The handler learns of it as of a client that left, so that it lets go of its replica. An answer that has
 // begun goes on; where it is not whole when the process ends, it does not look whole.
-void service_connection::give_up(const http_response& answer)
+void service_connection::abort_request(const http_response& answer)
 {
     end_if_idle();
     if (stage_ != stage::handling) {
@@ -306,8 +306,8 @@
     if (failure || written < text.size()) {
         abort();
     }
-    stage_ = stage::given_up;
-    tell_gone();
+    stage_ = stage::aborted;
+    notify_disconnect();
 }
 
 // What comes now is left unread: the end of the connection then tells the client that its request has not
--- a/src/net/internal/service_connection.hpp
+++ b/src/net/internal/service_connection.hpp
@@ -54,7 +54,7 @@
     /// Ends it where no byte of a request has come.
     void end_if_idle();
     /// Answers in place of the handler.
-    void give_up(const http_response& answer);
+    void abort_request(const http_response& answer);
     /// False: the service has answered in the handler's place.
     bool begin_answer();
     /// The head of an answer whose body follows in pieces.
@@ -63,8 +63,8 @@
     /// The fields that end a head, for this answer.
     std::string connection_fields();
 
-    bool gone() const { return gone_; }
-    void on_gone(std::function<void()> callback);
+    bool client_disconnected() const { return client_disconnected_; }
+    void on_client_disconnect(std::function<void()> callback);
 
 private:
     enum class stage {
@@ -72,19 +72,19 @@
         reading,
         handling,
         answering, ///< the handler's answer has begun
-        given_up,  ///< the service has answered in the handler's place
+        aborted,   ///< the service has answered in the handler's place
     };
 
     boost::beast::tcp_stream stream_;
     std::shared_ptr<http_service::state> owner_;
     boost::beast::flat_buffer buffer_;
-    std::function<void()> on_gone_;
+    std::function<void()> on_disconnect_;
     std::uint64_t watched_ = 0; ///< the request whose client is watched; each request has a new number
     stage stage_ = stage::reading;
     bool ended_idle_ = false; ///< by this side, without a request
     bool keep_alive_ = true;
     bool aborted_ = false;
-    bool gone_ = false;
+    bool client_disconnected_ = false;
 
     using parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
     task<void> serve_requests();
@@ -95,7 +95,7 @@
     task<void> linger();
     task<void> end_unread();
     bool in_request() const { return stage_ == stage::handling || stage_ == stage::answering; }
-    void tell_gone();
+    void notify_disconnect();
     void watch_client();
 };
 
--- a/src/net/net.hpp
+++ b/src/net/net.hpp
@@ -2,12 +2,12 @@
 #ifndef VANILLAGAUGE_NET_NET_HPP
 #define VANILLAGAUGE_NET_NET_HPP
 
+#include "net/async_condition.hpp"
 #include "net/connection_pool.hpp"
 #include "net/event_stream.hpp"
 #include "net/http_client.hpp"
 #include "net/http_message.hpp"
 #include "net/http_service.hpp"
-#include "net/signal.hpp"
 #include "net/task.hpp"
 
 #endif
--- a/src/rollout/rollout_service.cpp
+++ b/src/rollout/rollout_service.cpp
@@ -41,7 +41,7 @@
 {
     const auto found = find_runner(request->job());
     if (!ok(found)) {
-        wire::from(control).fail(failure(found));
+        wire::controller_of(control).fail(failure(found));
         done->Run();
         return;
     }
@@ -52,7 +52,7 @@
             *reply = value(std::move(outcome));
         }
         else {
-            wire::from(control).fail(failure(outcome));
+            wire::controller_of(control).fail(failure(outcome));
         }
         done->Run();
     });
@@ -66,7 +66,7 @@
         *reply = value(found)->status();
     }
     else {
-        wire::from(control).fail(failure(found));
+        wire::controller_of(control).fail(failure(found));
     }
     done->Run();
 }
@@ -76,8 +76,8 @@
 {
     const int weight = request->weight();
     if (weight < 0 || weight > static_cast<int>(policy::wave_strategy::drain_all)) {
-        wire::from(control).fail({error_code::invalid_argument, run_state::not_run,
-                                  "expected a weight of 0 to 2, found " + std::to_string(weight)});
+        wire::controller_of(control).fail({error_code::invalid_argument, run_state::not_run,
+                                           "expected a weight of 0 to 2, found " + std::to_string(weight)});
     }
     else {
         weights_->announce(request->deployment(), request->version(),
--- a/src/wire/controller.cpp
+++ b/src/wire/controller.cpp
@@ -9,7 +9,7 @@
 
 void controller::NotifyOnCancel(google::protobuf::Closure* /*callback*/) {}
 
-controller& from(google::protobuf::RpcController* base)
+controller& controller_of(google::protobuf::RpcController* base)
 {
     return *static_cast<controller*>(base);
 }
--- a/src/wire/controller.hpp
+++ b/src/wire/controller.hpp
@@ -57,7 +57,7 @@
 };
 
 /// The project's controller behind the interface; every call of the dispatcher carries one.
-controller& from(google::protobuf::RpcController* base);
+controller& controller_of(google::protobuf::RpcController* base);
 
 } // namespace vanillagauge::wire
 
--- a/src/wire/event_loop.cpp
+++ b/src/wire/event_loop.cpp
@@ -28,7 +28,7 @@
     boost::asio::post(state_->context, std::move(work));
 }
 
-void event_loop::run(const std::function<void()>& work)
+void event_loop::run_and_wait(const std::function<void()>& work)
 {
     if (state_->context.stopped()) {
         stop(); // its thread may still be in its last handler
--- a/src/wire/event_loop.hpp
+++ b/src/wire/event_loop.hpp
@@ -27,7 +27,7 @@
     void post(std::function<void()> work);
     /// Runs it on the loop's thread and waits for its end; on this one where the loop has ended. Not beside
     /// `stop` on another thread.
-    void run(const std::function<void()>& work);
+    void run_and_wait(const std::function<void()>& work);
     timer_cancel after(milliseconds delay, std::function<void()> work);
     /// Ends the thread and waits for it; further work is dropped.
     void stop();
--- a/src/wire/peer_server.cpp
+++ b/src/wire/peer_server.cpp
@@ -158,7 +158,7 @@
 
 void peer_server::close()
 {
-    state_->loop.run([this] {
+    state_->loop.run_and_wait([this] {
         boost::system::error_code ignored;
         state_->acceptor.close(ignored);
         const auto open_sessions = state_->sessions;
--- a/standins/platform/services.cpp
+++ b/standins/platform/services.cpp
@@ -26,7 +26,7 @@
             const std::lock_guard lock(state_.mutex);
             if (state_.mode.down()) {
                 state_.counts.set_refused(state_.counts.refused() + 1);
-                wire::from(control).fail(outage());
+                wire::controller_of(control).fail(outage());
             }
             else {
                 work();
@@ -59,7 +59,8 @@
         *reply = state_.objects.write(*request);
         if (state_.replies_to_lose > 0) {
             --state_.replies_to_lose;
-            wire::from(control).fail({error_code::internal, run_state::in_doubt, "the reply was lost"});
+            wire::controller_of(control).fail(
+                {error_code::internal, run_state::in_doubt, "the reply was lost"});
         }
     });
     std::list<std::function<bool()>> watches;
@@ -92,10 +93,11 @@
                 return true;
             }
             if (state_.mode.down()) {
-                wire::from(control).fail(outage());
+                wire::controller_of(control).fail(outage());
             }
             else if (state_.mode.break_watches()) {
-                wire::from(control).fail({error_code::unavailable, run_state::not_run, "the watch broke"});
+                wire::controller_of(control).fail(
+                    {error_code::unavailable, run_state::not_run, "the watch broke"});
             }
             else {
                 auto changes = state_.objects.changes(*request);
--- a/standins/target/engine.cpp
+++ b/standins/target/engine.cpp
@@ -71,12 +71,13 @@
         return;
     }
     if (played.refuse()) {
-        wire::from(control).fail({error_code::unavailable, run_state::not_run, "the engine takes nothing"});
+        wire::controller_of(control).fail(
+            {error_code::unavailable, run_state::not_run, "the engine takes nothing"});
         done->Run();
         return;
     }
     auto running = std::make_shared<stream>();
-    running->control = &wire::from(control);
+    running->control = &wire::controller_of(control);
     running->done = done;
     running->request_id = request->request_id();
     milliseconds delay{played.delay_ms()};
@@ -233,7 +234,7 @@
         const std::lock_guard lock(mutex_);
         const auto found = streams_.find(request->request_id());
         if (found == streams_.end()) {
-            wire::from(control).fail({error_code::not_found, run_state::not_run, "no such stream"});
+            wire::controller_of(control).fail({error_code::not_found, run_state::not_run, "no such stream"});
         }
         else {
             reply->set_cache(request->request_id() + ":" + std::to_string(found->second->tokens));
--- a/standins/target/plain_service.cpp
+++ b/standins/target/plain_service.cpp
@@ -25,7 +25,8 @@
         return;
     }
     if (played.refuse()) {
-        wire::from(control).fail({error_code::unavailable, run_state::not_run, "the service takes nothing"});
+        wire::controller_of(control).fail(
+            {error_code::unavailable, run_state::not_run, "the service takes nothing"});
         done->Run();
         return;
     }
@@ -36,7 +37,8 @@
         reply->set_body("{\"answer\":\"" + request.method() + "\"}");
         reply->set_digest(digest(reply->body()));
         if (played.drop_reply()) {
-            wire::from(control).fail({error_code::internal, run_state::in_doubt, "the reply was lost"});
+            wire::controller_of(control).fail(
+                {error_code::internal, run_state::in_doubt, "the reply was lost"});
         }
         done->Run();
     });
@@ -64,7 +66,8 @@
         return;
     }
     if (played.refuse()) {
-        wire::from(control).fail({error_code::unavailable, run_state::not_run, "the scorer takes nothing"});
+        wire::controller_of(control).fail(
+            {error_code::unavailable, run_state::not_run, "the scorer takes nothing"});
         done->Run();
         return;
     }
--- a/standins/users/fake_replica.cpp
+++ b/standins/users/fake_replica.cpp
@@ -141,7 +141,7 @@
     if (work_time.count() > 0) {
         co_await net::sleep_for(loop_, work_time);
     }
-    if (answer.client_gone()) {
+    if (answer.client_disconnected()) {
         ++cancelled;
         co_return;
     }
--- a/standins/users/fake_store.cpp
+++ b/standins/users/fake_store.cpp
@@ -180,7 +180,7 @@
 
 net::task<void> fake_store::outlast_silence(door used, net::responder& answer)
 {
-    while (used == door::second && faults.second_silent && !answer.client_gone()) {
+    while (used == door::second && faults.second_silent && !answer.client_disconnected()) {
         co_await net::sleep_for(loop_, silence_step);
     }
 }
@@ -205,7 +205,7 @@
                 events.push_back(std::move(told));
             }
         }
-        if (!events.empty() || steady::now() >= until || answer.client_gone()) {
+        if (!events.empty() || steady::now() >= until || answer.client_disconnected()) {
             json body;
             body["events"] = std::move(events);
             body["AsOf"] = revision_;
--- a/standins/users/fake_store.hpp
+++ b/standins/users/fake_store.hpp
@@ -4,8 +4,8 @@
 #ifndef VANILLAGAUGE_STANDINS_USERS_FAKE_STORE_HPP
 #define VANILLAGAUGE_STANDINS_USERS_FAKE_STORE_HPP
 
+#include "net/async_condition.hpp"
 #include "net/http_service.hpp"
-#include "net/signal.hpp"
 
 #include <nlohmann/json.hpp>
 
@@ -56,7 +56,7 @@
         bool removed = false;
     };
     net::loop& loop_;
-    net::signal changed_;
+    net::async_condition changed_;
     std::map<key, nlohmann::json> objects_;
     std::vector<event> history_;
     std::uint64_t revision_ = 100;
--- a/tests/entry/plain_call_tests.cpp
+++ b/tests/entry/plain_call_tests.cpp
@@ -43,10 +43,11 @@
             return;
         }
         if (mode_ == behaviour::refuses) {
-            wire::from(control).fail({error_code::unavailable, run_state::not_run, "takes nothing"});
+            wire::controller_of(control).fail({error_code::unavailable, run_state::not_run, "takes nothing"});
         }
         if (mode_ == behaviour::fails) {
-            wire::from(control).fail({error_code::internal, run_state::in_doubt, "the reply was lost"});
+            wire::controller_of(control).fail(
+                {error_code::internal, run_state::in_doubt, "the reply was lost"});
         }
         reply->set_request_id(request->request_id());
         reply->set_body("body");
--- a/tests/gateway/forwarding_tests.cpp
+++ b/tests/gateway/forwarding_tests.cpp
@@ -365,7 +365,7 @@
         const auto& response = std::get<net::http_response>(outcome);
         net::event_reader reader;
         std::vector<std::string> data;
-        for (const auto& event : reader.take(response.body)) {
+        for (const auto& event : reader.feed(response.body)) {
             data.push_back(event.data);
         }
         EXPECT_EQ(data, (std::vector<std::string>{id + "-1", id + "-2", id + "-3", id + "-4"}));
--- a/tests/net/connection_tests.cpp
+++ b/tests/net/connection_tests.cpp
@@ -214,7 +214,7 @@
     taken.get_future().wait();
     http_response ending;
     ending.status = 502;
-    boost::asio::post(thread.context(), [&] { service.give_up(ending); });
+    boost::asio::post(thread.context(), [&] { service.abort_requests(ending); });
     const auto text = answer.get();
     EXPECT_NE(text.find("HTTP/1.1 502"), std::string::npos);
     EXPECT_EQ(text.find("HTTP/1.1 200"), std::string::npos);
@@ -231,7 +231,7 @@
     http_service service(
         thread.context(), [] { return service_limits{}; },
         [&](const http_request&, responder& answer) -> task<void> {
-            answer.on_client_gone([&] { gone.set_value(); });
+            answer.on_client_disconnect([&] { gone.set_value(); });
             co_await sleep_for(thread.context(), seconds(1));
         });
     const auto address = value(service.open("127.0.0.1:0"));
--- a/tests/net/message_tests.cpp
+++ b/tests/net/message_tests.cpp
@@ -16,11 +16,11 @@
     EXPECT_EQ(fields.find("absent"), "");
 }
 
-TEST(concerns_connection, names_hop_by_hop_fields_and_those_that_connection_lists)
+TEST(is_hop_by_hop, names_hop_by_hop_fields_and_those_that_connection_lists)
 {
-    EXPECT_TRUE(concerns_connection("transfer-encoding", ""));
-    EXPECT_TRUE(concerns_connection("X-Private", "close, x-private"));
-    EXPECT_FALSE(concerns_connection("X-Public", "close, x-private"));
+    EXPECT_TRUE(is_hop_by_hop("transfer-encoding", ""));
+    EXPECT_TRUE(is_hop_by_hop("X-Private", "close, x-private"));
+    EXPECT_FALSE(is_hop_by_hop("X-Public", "close, x-private"));
 }
 
 TEST(query_value, decodes_escapes)
@@ -35,22 +35,22 @@
 TEST(event_reader, finds_events_across_pieces)
 {
     event_reader reader;
-    EXPECT_TRUE(reader.take("id: 1\nda").empty());
-    EXPECT_TRUE(reader.mid_event());
-    const auto first = reader.take("ta: one\n\nweight-versions: 7\nid: 2\ndata: two\ndata: lines\r\n\n");
+    EXPECT_TRUE(reader.feed("id: 1\nda").empty());
+    EXPECT_TRUE(reader.has_partial_event());
+    const auto first = reader.feed("ta: one\n\nweight-versions: 7\nid: 2\ndata: two\ndata: lines\r\n\n");
     ASSERT_EQ(first.size(), 2U);
     EXPECT_EQ(first[0].data, "one");
     EXPECT_EQ(first[1].id, 2U);
     EXPECT_EQ(first[1].data, "two\nlines");
-    EXPECT_EQ(first[1].others.find("Weight-Versions"), "7");
-    EXPECT_FALSE(reader.mid_event());
+    EXPECT_EQ(first[1].other_fields.find("Weight-Versions"), "7");
+    EXPECT_FALSE(reader.has_partial_event());
 }
 
 TEST(event_reader, drops_comments_and_ids_that_are_no_numbers)
 {
     event_reader reader;
-    EXPECT_TRUE(reader.take(": keep-alive\n\n").empty());
-    const auto events = reader.take("id: x\ndata: d\n\n");
+    EXPECT_TRUE(reader.feed(": keep-alive\n\n").empty());
+    const auto events = reader.feed("id: x\ndata: d\n\n");
     ASSERT_EQ(events.size(), 1U);
     EXPECT_FALSE(events[0].id);
 }
--- a/tests/rollout/scoring_tests.cpp
+++ b/tests/rollout/scoring_tests.cpp
@@ -30,7 +30,8 @@
     {
         ++requests_;
         if (mode_ == behaviour::refuses) {
-            wire::from(control).fail({error_code::unavailable, run_state::not_run, "refuses all requests"});
+            wire::controller_of(control).fail(
+                {error_code::unavailable, run_state::not_run, "refuses all requests"});
         }
         reply->set_sample_id(mode_ == behaviour::mismatches ? "another" : request->sample_id());
         reply->set_score(0.5);
--- a/tests/soak/ledger.cpp
+++ b/tests/soak/ledger.cpp
@@ -115,7 +115,7 @@
 {
     net::event_reader reader;
     std::uint64_t next = 1;
-    for (const auto& event : reader.take(response.body)) {
+    for (const auto& event : reader.feed(response.body)) {
         if (event.id != next || event.data != event_text(id, next)) {
             violation("ORDER: " + id + " expected event " + std::to_string(next) + ", found \"" + event.data +
                       "\"");
--- a/tests/stop/closing_service_tests.cpp
+++ b/tests/stop/closing_service_tests.cpp
@@ -85,7 +85,7 @@
     ending.status = 502;
     running.on_loop([&] {
         running.service.close();
-        running.service.give_up(ending);
+        running.service.abort_requests(ending);
     });
     client.send("ho");
     auto text = std::async(std::launch::async, [&] { return client.read_all(); });
@@ -130,7 +130,7 @@
     begun.get_future().wait();
     http_response ending;
     ending.status = 502;
-    boost::asio::post(thread.context(), [&] { service.give_up(ending); });
+    boost::asio::post(thread.context(), [&] { service.abort_requests(ending); });
     const auto text = client.read_all();
     EXPECT_NE(text.find("0\r\n\r\n"), std::string::npos);
     EXPECT_EQ(text.find("HTTP/1.1 502"), std::string::npos);
@@ -183,7 +183,7 @@
     std::this_thread::sleep_for(milliseconds(100));
     std::promise<void> ran;
     auto done = ran.get_future();
-    std::thread([&loop = *loop, &ran] { loop.run([&ran] { ran.set_value(); }); }).detach();
+    std::thread([&loop = *loop, &ran] { loop.run_and_wait([&ran] { ran.set_value(); }); }).detach();
     const bool ended = done.wait_for(seconds(2)) == std::future_status::ready;
     EXPECT_TRUE(ended);
     if (!ended) {
--- a/tests/stop/kept_connection_drain_tests.cpp
+++ b/tests/stop/kept_connection_drain_tests.cpp
@@ -30,7 +30,7 @@
     {
         target::v1::GenerateChunk chunk;
         chunk.set_sequence(1);
-        from(control).write(chunk);
+        controller_of(control).write(chunk);
         ending_ = std::async(std::launch::async, [this, done] {
             release.get_future().wait();
             done->Run();
--- a/tests/stop/reload_tests.cpp
+++ b/tests/stop/reload_tests.cpp
@@ -51,7 +51,7 @@
     const auto address_before = value(old_store.open());
     const auto first = world.inspect_store<nlohmann::json>(
         [](standins::fake_store& store) { return store.find("config", "main")["Specification"]; });
-    loop.run([&] { old_store.put("config", "main", first); });
+    loop.run_and_wait([&] { old_store.put("config", "main", first); });
     write_settings(address_before);
     const auto settings = config::load_settings(file);
     ASSERT_TRUE(ok(settings)) << describe(failure(settings));
--- a/tests/stop/store_move_tests.cpp
+++ b/tests/stop/store_move_tests.cpp
@@ -58,11 +58,11 @@
 // Guards against calls that go to the store before, over the connection of a call that outlasted the move.
 TEST_F(store_move, takes_no_connection_of_the_store_before)
 {
-    loop.run([this] { new_store.put(kind, "x", {{"at", "after"}}); });
+    loop.run_and_wait([this] { new_store.put(kind, "x", {{"at", "after"}}); });
     auto watched = start<result<gateway::object_changes>>(
         [this] { return moved->watch(kind, far_revision, watch_time); });
     std::this_thread::sleep_for(watch_time / 3); // the watch waits at the store before
-    loop.run([this] { moved->set_address(new_address); });
+    loop.run_and_wait([this] { moved->set_address(new_address); });
     watched.wait();
     const auto read = start<result<gateway::stored_object>>([this] { return moved->read(kind, "x"); }).get();
     ASSERT_TRUE(ok(read)) << describe(failure(read));
--- a/tests/wire/call_tests.cpp
+++ b/tests/wire/call_tests.cpp
@@ -15,7 +15,7 @@
               target::v1::CallReply* reply, google::protobuf::Closure* done) override
     {
         if (request->body() == "fail") {
-            from(base).fail({error_code::overloaded, run_state::not_run, "asked to", milliseconds{250}});
+            controller_of(base).fail({error_code::overloaded, run_state::not_run, "asked to", milliseconds{250}});
         }
         reply->set_request_id(request->request_id());
         reply->set_body(request->body());
@@ -31,10 +31,10 @@
         for (int place = 0; place < request->max_tokens(); ++place) {
             target::v1::GenerateChunk chunk;
             chunk.set_sequence(place);
-            from(base).write(chunk);
+            controller_of(base).write(chunk);
         }
         if (request->prompt() == "break") {
-            from(base).fail({error_code::unavailable, run_state::ran, "broke"});
+            controller_of(base).fail({error_code::unavailable, run_state::ran, "broke"});
         }
         done->Run();
     }
@@ -226,7 +226,7 @@
             target::v1::GenerateChunk chunk;
             chunk.set_text(std::string(1000, 'x'));
             while (!control->IsCanceled()) {
-                from(control).write(chunk);
+                controller_of(control).write(chunk);
                 std::this_thread::sleep_for(milliseconds{1});
             }
             done->Run();
--- a/tests/wire/input_limits_tests.cpp
+++ b/tests/wire/input_limits_tests.cpp
@@ -66,13 +66,13 @@
     {
         target::v1::GenerateChunk chunk;
         chunk.set_sequence(1);
-        from(base).write(chunk);
+        controller_of(base).write(chunk);
         entered.set_value();
         finisher_ = std::async(std::launch::async, [this, base, done] {
             release.get_future().wait();
             target::v1::GenerateChunk last;
             last.set_sequence(2);
-            from(base).write(last);
+            controller_of(base).write(last);
             done->Run();
         });
     }
