--- a/src/net/async_condition.cpp
+++ b/src/net/async_condition.cpp
@@ -11,7 +11,7 @@
 using boost::asio::steady_timer;
 using boost::asio::use_awaitable;
 
-async_condition::async_condition(loop& where) : loop_(where) {}
+async_condition::async_condition(loop& context) : loop_(context) {}
 
 void async_condition::notify()
 {
@@ -23,13 +23,13 @@
 
 // One timer serves all waiters of a turn, so it is set to the earliest of their times; the others find their
 // condition unmet and wait again.
-task<void> async_condition::wait_until(time_point until)
+task<void> async_condition::wait_until(time_point deadline)
 {
     if (!timer_) {
-        timer_ = std::make_shared<steady_timer>(loop_, until);
+        timer_ = std::make_shared<steady_timer>(loop_, deadline);
     }
-    else if (until < timer_->expiry()) {
-        const auto earlier = std::make_shared<steady_timer>(loop_, until);
+    else if (deadline < timer_->expiry()) {
+        const auto earlier = std::make_shared<steady_timer>(loop_, deadline);
         timer_->cancel();
         timer_ = earlier;
     }
--- a/src/net/async_condition.hpp
+++ b/src/net/async_condition.hpp
@@ -13,11 +13,11 @@
 /// All waiters wake at each `notify`; a waiter checks its condition again. Belongs to the loop's thread.
 class async_condition {
 public:
-    explicit async_condition(loop& where);
+    explicit async_condition(loop& context);
 
     void notify();
-    /// Returns after the next `notify` or at `until`, whichever is first.
-    task<void> wait_until(time_point until);
+    /// Returns after the next `notify` or at `deadline`, whichever is first.
+    task<void> wait_until(time_point deadline);
 
 private:
     loop& loop_;
--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -6,7 +6,7 @@
 namespace vanillagauge::net {
 namespace {
 
-constexpr std::size_t most_idle = 64;
+constexpr std::size_t max_idle = 64;
 
 /// The peer's close and the next request must not cross: a request that meets a close may have run or not.
 constexpr milliseconds close_margin{400};
@@ -19,7 +19,7 @@
     std::erase_if(idle_, [now](const idle_connection& entry) { return now >= entry.expires; });
 }
 
-task<http_result<std::shared_ptr<http_connection>>> connection_pool::acquire(time_point until)
+task<http_result<std::shared_ptr<http_connection>>> connection_pool::acquire(time_point deadline)
 {
     drop_expired();
     while (!idle_.empty()) {
@@ -29,13 +29,13 @@
             co_return connection;
         }
     }
-    co_return co_await acquire_new(until);
+    co_return co_await acquire_new(deadline);
 }
 
-task<http_result<std::shared_ptr<http_connection>>> connection_pool::acquire_new(time_point until)
+task<http_result<std::shared_ptr<http_connection>>> connection_pool::acquire_new(time_point deadline)
 {
     auto connection = std::make_shared<http_connection>(*loop_);
-    auto connected = co_await connection->connect(address_, until);
+    auto connected = co_await connection->connect(address_, deadline);
     if (auto* failure = std::get_if<http_failure>(&connected)) {
         co_return std::move(*failure);
     }
@@ -45,7 +45,7 @@
 void connection_pool::release(std::shared_ptr<http_connection> connection, duration idle_time)
 {
     drop_expired();
-    if (idle_time.count() > 0 && idle_.size() < most_idle && connection->reusable()) {
+    if (idle_time.count() > 0 && idle_.size() < max_idle && connection->reusable()) {
         idle_.push_back({std::move(connection), steady::now() + idle_time});
     }
 }
--- a/src/net/connection_pool.hpp
+++ b/src/net/connection_pool.hpp
@@ -11,12 +11,12 @@
 
 class connection_pool {
 public:
-    connection_pool(loop& where, std::string address) : loop_(&where), address_(std::move(address)) {}
+    connection_pool(loop& context, std::string address) : loop_(&context), address_(std::move(address)) {}
 
     /// The connection used last that is still sound, or a new one.
-    task<http_result<std::shared_ptr<http_connection>>> acquire(time_point until);
+    task<http_result<std::shared_ptr<http_connection>>> acquire(time_point deadline);
     /// A connection that nobody used before.
-    task<http_result<std::shared_ptr<http_connection>>> acquire_new(time_point until);
+    task<http_result<std::shared_ptr<http_connection>>> acquire_new(time_point deadline);
     /// Keeps it for at most `idle_time`; a connection that is not reusable ends here.
     void release(std::shared_ptr<http_connection> connection, duration idle_time);
     void clear() { idle_.clear(); }
--- a/src/net/event_stream.cpp
+++ b/src/net/event_stream.cpp
@@ -6,7 +6,7 @@
 
 std::vector<stream_event> event_reader::feed(std::string_view bytes)
 {
-    std::vector<stream_event> whole;
+    std::vector<stream_event> events;
     while (!bytes.empty()) {
         const auto end = bytes.find('\n');
         line_ += bytes.substr(0, end);
@@ -17,17 +17,17 @@
         if (!line_.empty() && line_.back() == '\r') {
             line_.pop_back();
         }
-        parse_line(whole);
+        parse_line(events);
         line_.clear();
     }
-    return whole;
+    return events;
 }
 
-void event_reader::parse_line(std::vector<stream_event>& whole)
+void event_reader::parse_line(std::vector<stream_event>& events)
 {
     if (line_.empty()) {
         if (has_data_ || current_.id) {
-            whole.push_back(std::move(current_));
+            events.push_back(std::move(current_));
         }
         current_ = {};
         has_data_ = false;
--- a/src/net/event_stream.hpp
+++ b/src/net/event_stream.hpp
@@ -31,7 +31,7 @@
     bool has_data_ = false;
     bool has_lines_ = false;
 
-    void parse_line(std::vector<stream_event>& whole);
+    void parse_line(std::vector<stream_event>& events);
 };
 
 } // namespace vanillagauge::net
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -73,11 +73,11 @@
     return "cancelled";
 }
 
-http_connection::http_connection(loop& where) : stream_(where) {}
+http_connection::http_connection(loop& context) : stream_(context) {}
 
 http_connection::~http_connection() = default;
 
-http_failure http_connection::failed(const error_code& code) const
+http_failure http_connection::to_failure(const error_code& code) const
 {
     if (closed_) {
         return {failure_kind::cancelled, sent_, "closed by this side"};
@@ -91,50 +91,50 @@
     return {is_malformed(code) ? failure_kind::malformed : failure_kind::closed, sent_, code.message()};
 }
 
-task<http_result<done>> http_connection::connect(std::string address, time_point until)
+task<http_result<done>> http_connection::connect(std::string address, time_point deadline)
 {
     const auto parsed = parse_endpoint(address);
     if (!ok(parsed)) {
         co_return http_failure{failure_kind::refused, false, failure(parsed).detail};
     }
     const asio::ip::tcp::endpoint to(asio::ip::make_address(value(parsed).host), value(parsed).port);
-    stream_.expires_at(until);
+    stream_.expires_at(deadline);
     error_code unconnected;
     co_await stream_.async_connect(to, asio::redirect_error(asio::use_awaitable, unconnected));
     if (unconnected) {
-        co_return failed(unconnected);
+        co_return to_failure(unconnected);
     }
-    internal::prepare(stream_.socket());
+    internal::configure_socket(stream_.socket());
     co_return done{};
 }
 
-task<http_result<done>> http_connection::send(const http_request& request, time_point until)
+task<http_result<done>> http_connection::send(const http_request& request, time_point deadline)
 {
     ++requests_;
     sent_ = true;
     reader_.reset();
     const auto text = serialized(request);
-    stream_.expires_at(until);
+    stream_.expires_at(deadline);
     error_code failure;
     co_await asio::async_write(stream_, asio::buffer(text),
                                asio::redirect_error(asio::use_awaitable, failure));
     if (failure) {
-        co_return failed(failure);
+        co_return to_failure(failure);
     }
     co_return done{};
 }
 
-task<http_result<response_head>> http_connection::read_head(time_point until)
+task<http_result<response_head>> http_connection::read_head(time_point deadline)
 {
     reader_ = std::make_unique<body_reader>();
     reader_->parser.header_limit(header_bytes);
     reader_->parser.body_limit(std::numeric_limits<std::uint64_t>::max());
-    stream_.expires_at(until);
+    stream_.expires_at(deadline);
     error_code failure;
     co_await http::async_read_header(stream_, buffer_, reader_->parser,
                                      asio::redirect_error(asio::use_awaitable, failure));
     if (failure) {
-        co_return failed(failure);
+        co_return to_failure(failure);
     }
     response_head head;
     const auto& message = reader_->parser.get();
@@ -148,7 +148,7 @@
     co_return head;
 }
 
-task<http_result<body_piece>> http_connection::read_piece(time_point until)
+task<http_result<body_piece>> http_connection::read_piece(time_point deadline)
 {
     auto& parser = reader_->parser;
     if (parser.is_done()) {
@@ -157,32 +157,32 @@
     auto& body = parser.get().body();
     body.data = reader_->piece.data();
     body.size = reader_->piece.size();
-    stream_.expires_at(until);
+    stream_.expires_at(deadline);
     error_code failure;
     co_await http::async_read_some(stream_, buffer_, parser,
                                    asio::redirect_error(asio::use_awaitable, failure));
     const auto filled = piece_bytes - body.size;
     if (failure && failure != http::error::need_buffer) {
-        co_return failed(failure);
+        co_return to_failure(failure);
     }
     co_return body_piece{std::string(reader_->piece.data(), filled), parser.is_done()};
 }
 
-task<http_result<std::string>> http_connection::read_body(std::size_t most, time_point until)
+task<http_result<std::string>> http_connection::read_body(std::size_t max_bytes, time_point deadline)
 {
-    std::string whole;
+    std::string body;
     while (true) {
-        auto read = co_await read_piece(until);
+        auto read = co_await read_piece(deadline);
         if (auto* failure = std::get_if<http_failure>(&read)) {
             co_return std::move(*failure);
         }
         auto& piece = std::get<body_piece>(read);
-        whole += piece.bytes;
-        if (whole.size() > most) {
+        body += piece.bytes;
+        if (body.size() > max_bytes) {
             co_return http_failure{failure_kind::malformed, true, "a body beyond the limit"};
         }
         if (piece.last) {
-            co_return whole;
+            co_return body;
         }
     }
 }
@@ -209,17 +209,17 @@
 }
 
 task<http_result<http_response>> exchange(http_connection& connection, const http_request& request,
-                                          std::size_t most_body, time_point until)
+                                          std::size_t max_body, time_point deadline)
 {
-    const auto sent = co_await connection.send(request, until);
+    const auto sent = co_await connection.send(request, deadline);
     if (const auto* failure = std::get_if<http_failure>(&sent)) {
         co_return *failure;
     }
-    auto head = co_await connection.read_head(until);
+    auto head = co_await connection.read_head(deadline);
     if (auto* failure = std::get_if<http_failure>(&head)) {
         co_return std::move(*failure);
     }
-    auto body = co_await connection.read_body(most_body, until);
+    auto body = co_await connection.read_body(max_body, deadline);
     if (auto* failure = std::get_if<http_failure>(&body)) {
         co_return std::move(*failure);
     }
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -51,18 +51,18 @@
 /// Every wait ends by a deadline of its own: an open connection may go silent for good.
 class http_connection {
 public:
-    explicit http_connection(loop& where);
+    explicit http_connection(loop& context);
     ~http_connection();
     http_connection(const http_connection&) = delete;
     http_connection& operator=(const http_connection&) = delete;
 
     /// `address` is IP:PORT.
-    task<http_result<done>> connect(std::string address, time_point until);
-    task<http_result<done>> send(const http_request& request, time_point until);
-    task<http_result<response_head>> read_head(time_point until);
-    task<http_result<body_piece>> read_piece(time_point until);
-    /// The whole body, at most `most` bytes.
-    task<http_result<std::string>> read_body(std::size_t most, time_point until);
+    task<http_result<done>> connect(std::string address, time_point deadline);
+    task<http_result<done>> send(const http_request& request, time_point deadline);
+    task<http_result<response_head>> read_head(time_point deadline);
+    task<http_result<body_piece>> read_piece(time_point deadline);
+    /// The whole body, at most `max_bytes` bytes.
+    task<http_result<std::string>> read_body(std::size_t max_bytes, time_point deadline);
     /// Ends every wait with `cancelled`.
     void close();
 
@@ -79,12 +79,12 @@
     bool closed_ = false;
     int requests_ = 0;
 
-    http_failure failed(const boost::system::error_code& code) const;
+    http_failure to_failure(const boost::system::error_code& code) const;
 };
 
 /// A whole exchange on a connection that is open.
 task<http_result<http_response>> exchange(http_connection& connection, const http_request& request,
-                                          std::size_t most_body, time_point until);
+                                          std::size_t max_body, time_point deadline);
 
 } // namespace vanillagauge::net
 
--- a/src/net/http_service.cpp
+++ b/src/net/http_service.cpp
@@ -25,19 +25,19 @@
 task<bool> responder::send(http_response response)
 {
     answered_ = true;
-    if (!connection_.begin_answer()) {
+    if (!connection_.begin_response()) {
         co_return false;
     }
-    co_return co_await connection_.write_text(connection_.whole_text(response));
+    co_return co_await connection_.write_text(connection_.serialize(response));
 }
 
 task<bool> responder::begin(int status, http_fields fields)
 {
     begun_ = true;
-    if (!connection_.begin_answer()) {
+    if (!connection_.begin_response()) {
         co_return false;
     }
-    co_return co_await connection_.write_text(connection_.begin_text(status, fields));
+    co_return co_await connection_.write_text(connection_.chunked_head(status, fields));
 }
 
 task<bool> responder::write(std::string piece)
@@ -74,8 +74,8 @@
     connection_.on_client_disconnect(std::move(callback));
 }
 
-http_service::http_service(loop& where, std::function<service_limits()> limits, http_handler handler)
-    : state_(std::make_shared<state>(where, std::move(limits), std::move(handler)))
+http_service::http_service(loop& context, std::function<service_limits()> limits, http_handler handler)
+    : state_(std::make_shared<state>(context, std::move(limits), std::move(handler)))
 {
 }
 
@@ -115,7 +115,7 @@
         return error{vanillagauge::error_code::unavailable, run_state::not_run,
                      "expected a free address IP:PORT, found: " + address + ", " + failed.message()};
     }
-    start(state_->context, state::accept_all(state_));
+    start(state_->context, state::accept_loop(state_));
     return host.to_string() + ":" + std::to_string(acceptor.local_endpoint().port());
 }
 
@@ -128,12 +128,12 @@
 {
     drain();
     state_->close_acceptor();
-    start(state_->context, state::end_idle(state_));
+    start(state_->context, state::close_idle(state_));
 }
 
 void http_service::abort_requests(const http_response& answer)
 {
-    state_->ending = answer;
+    state_->failure_response = answer;
     const auto open = state_->connections;
     for (auto* connection : open) {
         connection->abort_request(answer);
@@ -150,20 +150,20 @@
     return state_->in_flight;
 }
 
-void http_service::state::adopt(asio::ip::tcp::socket socket)
+void http_service::state::start_connection(asio::ip::tcp::socket socket)
 {
     const auto connection = std::make_shared<service_connection>(std::move(socket), shared_from_this());
     start(context, service_connection::serve(connection));
 }
 
-task<void> http_service::state::accept_all(std::shared_ptr<state> owner)
+task<void> http_service::state::accept_loop(std::shared_ptr<state> owner)
 {
     while (owner->acceptor.is_open()) {
         error_code failure;
         auto socket =
             co_await owner->acceptor.async_accept(asio::redirect_error(asio::use_awaitable, failure));
         if (!failure) {
-            owner->adopt(std::move(socket));
+            owner->start_connection(std::move(socket));
         }
         else if (owner->acceptor.is_open()) {
             // Out of descriptors, usually; without the pause the loop would spin until one is free.
@@ -181,18 +181,18 @@
         asio::ip::tcp::socket socket(context);
         acceptor.accept(socket, failure);
         if (!failure) {
-            adopt(std::move(socket));
+            start_connection(std::move(socket));
         }
     }
     acceptor.close(failure);
 }
 
-task<void> http_service::state::end_idle(std::shared_ptr<state> owner)
+task<void> http_service::state::close_idle(std::shared_ptr<state> owner)
 {
     while (!owner->connections.empty()) {
         co_await sleep_for(owner->context, close_grace);
         for (auto* connection : std::set(owner->connections)) {
-            connection->end_if_idle();
+            connection->close_if_idle();
         }
     }
 }
--- a/src/net/http_service.hpp
+++ b/src/net/http_service.hpp
@@ -54,7 +54,7 @@
 class http_service {
 public:
     /// `limits` is asked for each request, so that it may change.
-    http_service(loop& where, std::function<service_limits()> limits, http_handler handler);
+    http_service(loop& context, std::function<service_limits()> limits, http_handler handler);
     ~http_service();
     http_service(const http_service&) = delete;
     http_service& operator=(const http_service&) = delete;
--- a/src/net/internal/keep_alive.cpp
+++ b/src/net/internal/keep_alive.cpp
@@ -12,12 +12,12 @@
 // second apart find it in about three seconds, the time that the fleet's own view of a lost VM takes.
 constexpr int idle_seconds = 1;
 constexpr int interval_seconds = 1;
-constexpr int unanswered_probes = 2;
-constexpr unsigned int unanswered_ms = 2500;
+constexpr int max_probes = 2;
+constexpr unsigned int user_timeout_ms = 2500;
 
 } // namespace
 
-void prepare(boost::asio::ip::tcp::socket& socket)
+void configure_socket(boost::asio::ip::tcp::socket& socket)
 {
     const int on = 1;
     const auto handle = socket.native_handle();
@@ -26,8 +26,8 @@
     ::setsockopt(handle, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
     ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPIDLE, &idle_seconds, sizeof idle_seconds);
     ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPINTVL, &interval_seconds, sizeof interval_seconds);
-    ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPCNT, &unanswered_probes, sizeof unanswered_probes);
-    ::setsockopt(handle, IPPROTO_TCP, TCP_USER_TIMEOUT, &unanswered_ms, sizeof unanswered_ms);
+    ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPCNT, &max_probes, sizeof max_probes);
+    ::setsockopt(handle, IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout_ms, sizeof user_timeout_ms);
 }
 
 } // namespace vanillagauge::net::internal
--- a/src/net/internal/keep_alive.hpp
+++ b/src/net/internal/keep_alive.hpp
@@ -8,7 +8,7 @@
 
 /// Prepares a connected socket: small writes go at once, and a peer that does not answer probes for some
 /// three seconds ends the connection with an error, also while nothing is sent.
-void prepare(boost::asio::ip::tcp::socket& socket);
+void configure_socket(boost::asio::ip::tcp::socket& socket);
 
 } // namespace vanillagauge::net::internal
 
--- a/src/net/internal/service_connection.cpp
+++ b/src/net/internal/service_connection.cpp
@@ -60,7 +60,7 @@
     return request;
 }
 
-int refusal_status(const error_code& why, bool in_body)
+int error_status(const error_code& why, bool in_body)
 {
     if (why == http::error::header_limit) {
         return 431;
@@ -71,7 +71,7 @@
     return in_body || why != http::error::end_of_stream ? 400 : 0;
 }
 
-bool peer_ended(const error_code& why)
+bool is_disconnect(const error_code& why)
 {
     return why == http::error::end_of_stream || why == http::error::partial_message ||
            why == asio::error::connection_reset || why == asio::error::eof ||
@@ -91,16 +91,16 @@
     const auto size = co_await stream_.async_read_some(buffer_.prepare(4096),
                                                        asio::redirect_error(asio::use_awaitable, failure));
     stage_ = stage::reading;
-    ended_idle_ = ended_idle_ && size == 0;
+    closed_idle_ = closed_idle_ && size == 0;
     buffer_.commit(size);
     co_return !failure && size > 0;
 }
 
-task<void> service_connection::refuse(const error_code& why, bool in_body)
+task<void> service_connection::reject(const error_code& why, bool in_body)
 {
     keep_alive_ = false;
-    const auto status = refusal_status(why, in_body);
-    if (status == 0 || peer_ended(why)) {
+    const auto status = error_status(why, in_body);
+    if (status == 0 || is_disconnect(why)) {
         co_return;
     }
     co_await write_text(status_line(status) + "Content-Length: 0\r\n" + connection_fields());
@@ -116,7 +116,7 @@
     co_await http::async_read_header(stream_, buffer_, message,
                                      asio::redirect_error(asio::use_awaitable, failure));
     if (failure) {
-        co_await refuse(failure, false);
+        co_await reject(failure, false);
         co_return false;
     }
     if (message.get()[http::field::expect] == "100-continue") {
@@ -125,7 +125,7 @@
     stream_.expires_after(limits.body_time);
     co_await http::async_read(stream_, buffer_, message, asio::redirect_error(asio::use_awaitable, failure));
     if (failure) {
-        co_await refuse(failure, true);
+        co_await reject(failure, true);
         co_return false;
     }
     co_return true;
@@ -138,7 +138,7 @@
 
 task<void> service_connection::serve_requests()
 {
-    internal::prepare(stream_.socket());
+    internal::configure_socket(stream_.socket());
     while (keep_alive_ && !aborted_) {
         const auto limits = owner_->limits();
         if (!co_await wait_for_request(limits)) {
@@ -152,8 +152,8 @@
         const auto request = to_request(message);
         co_await handle(request);
     }
-    if (ended_idle_) {
-        co_await end_unread();
+    if (closed_idle_) {
+        co_await close_unread();
     }
     else if (!aborted_) {
         co_await linger();
@@ -164,10 +164,10 @@
 {
     ++owner_->in_flight;
     stage_ = stage::handling;
-    ++watched_;
+    ++watched_request_;
     watch_client();
-    if (owner_->ending) {
-        co_await write_text(whole_text(*owner_->ending));
+    if (owner_->failure_response) {
+        co_await write_text(serialize(*owner_->failure_response));
     }
     else {
         responder answer(*this);
@@ -185,22 +185,23 @@
 // nobody. A byte that arrives instead is the client's next request; then the watch ends.
 void service_connection::watch_client()
 {
-    stream_.socket().async_wait(asio::ip::tcp::socket::wait_read,
-                                [self = shared_from_this(), request = watched_](const error_code& failure) {
-                                    if (failure || !self->in_request() || request != self->watched_) {
-                                        return;
-                                    }
-                                    char byte = 0;
-                                    const auto seen = ::recv(self->stream_.socket().native_handle(), &byte, 1,
-                                                             MSG_PEEK | MSG_DONTWAIT);
-                                    if (seen < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
-                                        self->watch_client();
-                                        return;
-                                    }
-                                    if (seen <= 0) {
-                                        self->notify_disconnect();
-                                    }
-                                });
+    stream_.socket().async_wait(
+        asio::ip::tcp::socket::wait_read,
+        [self = shared_from_this(), request = watched_request_](const error_code& failure) {
+            if (failure || !self->in_request() || request != self->watched_request_) {
+                return;
+            }
+            char byte = 0;
+            const auto seen =
+                ::recv(self->stream_.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+            if (seen < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
+                self->watch_client();
+                return;
+            }
+            if (seen <= 0) {
+                self->notify_disconnect();
+            }
+        });
 }
 
 void service_connection::notify_disconnect()
@@ -256,21 +257,21 @@
     stream_.close();
 }
 
-bool service_connection::begin_answer()
+bool service_connection::begin_response()
 {
     if (stage_ == stage::aborted) {
         return false;
     }
-    stage_ = stage::answering;
+    stage_ = stage::responding;
     return true;
 }
 
-std::string service_connection::begin_text(int status, const http_fields& fields)
+std::string service_connection::chunked_head(int status, const http_fields& fields)
 {
     return head_text(status, fields) + "Transfer-Encoding: chunked\r\n" + connection_fields();
 }
 
-std::string service_connection::whole_text(const http_response& response)
+std::string service_connection::serialize(const http_response& response)
 {
     auto text = head_text(response.status, response.fields);
     text += "Content-Length: " + std::to_string(response.body.size()) + "\r\n";
@@ -279,12 +280,12 @@
     return text;
 }
 
-void service_connection::end_if_idle()
+void service_connection::close_if_idle()
 {
     if (stage_ != stage::idle) {
         return;
     }
-    ended_idle_ = true;
+    closed_idle_ = true;
     keep_alive_ = false;
     error_code ignored;
     stream_.socket().cancel(ignored);
@@ -294,12 +295,12 @@
 // begun goes on; where it is not whole when the process ends, it does not look whole.
 void service_connection::abort_request(const http_response& answer)
 {
-    end_if_idle();
+    close_if_idle();
     if (stage_ != stage::handling) {
         return;
     }
     keep_alive_ = false;
-    const auto text = whole_text(answer);
+    const auto text = serialize(answer);
     error_code failure;
     stream_.socket().non_blocking(true, failure);
     const auto written = stream_.socket().write_some(asio::buffer(text), failure);
@@ -312,7 +313,7 @@
 
 // What comes now is left unread: the end of the connection then tells the client that its request has not
 // run, while a request that was read and thrown away could have.
-task<void> service_connection::end_unread()
+task<void> service_connection::close_unread()
 {
     error_code failure;
     stream_.socket().shutdown(asio::ip::tcp::socket::shutdown_send, failure);
--- a/src/net/internal/service_connection.hpp
+++ b/src/net/internal/service_connection.hpp
@@ -16,8 +16,9 @@
 namespace vanillagauge::net {
 
 struct http_service::state : std::enable_shared_from_this<http_service::state> {
-    state(loop& where, std::function<service_limits()> asked, http_handler called)
-        : context(where), acceptor(where), limits(std::move(asked)), handler(std::move(called))
+    state(loop& shared_context, std::function<service_limits()> limits_source, http_handler request_handler)
+        : context(shared_context), acceptor(shared_context), limits(std::move(limits_source)),
+          handler(std::move(request_handler))
     {
     }
 
@@ -28,12 +29,12 @@
     bool draining = false;
     std::set<service_connection*> connections;
     std::size_t in_flight = 0;
-    std::optional<http_response> ending; ///< answers what is read once the handlers are given up
+    std::optional<http_response> failure_response; ///< answers what is read once the handlers are given up
 
-    void adopt(boost::asio::ip::tcp::socket socket);
-    static task<void> accept_all(std::shared_ptr<state> owner);
+    void start_connection(boost::asio::ip::tcp::socket socket);
+    static task<void> accept_loop(std::shared_ptr<state> owner);
     void close_acceptor();
-    static task<void> end_idle(std::shared_ptr<state> owner);
+    static task<void> close_idle(std::shared_ptr<state> owner);
 };
 
 class service_connection : public std::enable_shared_from_this<service_connection> {
@@ -52,14 +53,14 @@
     task<bool> write_text(std::string text);
     void abort();
     /// Ends it where no byte of a request has come.
-    void end_if_idle();
+    void close_if_idle();
     /// Answers in place of the handler.
     void abort_request(const http_response& answer);
     /// False: the service has answered in the handler's place.
-    bool begin_answer();
+    bool begin_response();
     /// The head of an answer whose body follows in pieces.
-    std::string begin_text(int status, const http_fields& fields);
-    std::string whole_text(const http_response& response);
+    std::string chunked_head(int status, const http_fields& fields);
+    std::string serialize(const http_response& response);
     /// The fields that end a head, for this answer.
     std::string connection_fields();
 
@@ -71,17 +72,18 @@
         idle, ///< no byte of a request has come
         reading,
         handling,
-        answering, ///< the handler's answer has begun
-        aborted,   ///< the service has answered in the handler's place
+        responding, ///< the handler's answer has begun
+        aborted,    ///< the service has answered in the handler's place
     };
 
     boost::beast::tcp_stream stream_;
     std::shared_ptr<http_service::state> owner_;
     boost::beast::flat_buffer buffer_;
     std::function<void()> on_disconnect_;
-    std::uint64_t watched_ = 0; ///< the request whose client is watched; each request has a new number
+    std::uint64_t watched_request_ =
+        0; ///< the request whose client is watched; each request has a new number
     stage stage_ = stage::reading;
-    bool ended_idle_ = false; ///< by this side, without a request
+    bool closed_idle_ = false; ///< by this side, without a request
     bool keep_alive_ = true;
     bool aborted_ = false;
     bool client_disconnected_ = false;
@@ -90,11 +92,11 @@
     task<void> serve_requests();
     task<bool> read_request(parser& message, const service_limits& limits);
     task<bool> wait_for_request(const service_limits& limits);
-    task<void> refuse(const boost::system::error_code& why, bool in_body);
+    task<void> reject(const boost::system::error_code& why, bool in_body);
     task<void> handle(const http_request& request);
     task<void> linger();
-    task<void> end_unread();
-    bool in_request() const { return stage_ == stage::handling || stage_ == stage::answering; }
+    task<void> close_unread();
+    bool in_request() const { return stage_ == stage::handling || stage_ == stage::responding; }
     void notify_disconnect();
     void watch_client();
 };
--- a/src/net/task.cpp
+++ b/src/net/task.cpp
@@ -8,18 +8,18 @@
 
 namespace vanillagauge::net {
 
-void start(loop& where, task<void> work)
+void start(loop& context, task<void> work)
 {
-    boost::asio::co_spawn(where, std::move(work), [](std::exception_ptr failed) {
+    boost::asio::co_spawn(context, std::move(work), [](std::exception_ptr failed) {
         if (failed) {
             std::rethrow_exception(failed);
         }
     });
 }
 
-task<void> sleep_for(loop& where, duration pause)
+task<void> sleep_for(loop& context, duration pause)
 {
-    boost::asio::steady_timer timer(where, pause);
+    boost::asio::steady_timer timer(context, pause);
     co_await timer.async_wait(boost::asio::use_awaitable);
 }
 
--- a/src/net/task.hpp
+++ b/src/net/task.hpp
@@ -21,10 +21,10 @@
 using loop = boost::asio::io_context;
 
 /// Starts the task on the loop; an exception that leaves it ends the program.
-void start(loop& where, task<void> work);
+void start(loop& context, task<void> work);
 
 /// Waits on the steady clock.
-task<void> sleep_for(loop& where, duration pause);
+task<void> sleep_for(loop& context, duration pause);
 
 } // namespace vanillagauge::net
 
