--- a/src/wire/access.cpp
+++ b/src/wire/access.cpp
@@ -4,9 +4,9 @@
 
 namespace vanillagauge::wire {
 
-std::string_view name(role who)
+std::string_view name(role role_value)
 {
-    switch (who) {
+    switch (role_value) {
     case role::caller:
         return "caller";
     case role::trainer:
@@ -21,13 +21,13 @@
     return "anyone";
 }
 
-bool admits(const access_table& table, role needed, std::string_view authorization)
+bool is_authorized(const access_table& table, role required, std::string_view authorization)
 {
-    if (needed == role::anyone) {
+    if (required == role::anyone) {
         return true;
     }
     constexpr std::string_view scheme = "Bearer ";
-    const auto found = table.tokens.find(needed);
+    const auto found = table.tokens.find(required);
     if (found == table.tokens.end() || !authorization.starts_with(scheme)) {
         return false;
     }
--- a/src/wire/access.hpp
+++ b/src/wire/access.hpp
@@ -16,10 +16,10 @@
     std::map<role, std::string> tokens;
 };
 
-std::string_view name(role who);
+std::string_view name(role role_value);
 
 /// True where the Authorization header carries the role's token; the comparison takes constant time.
-bool admits(const access_table& table, role needed, std::string_view authorization);
+bool is_authorized(const access_table& table, role required, std::string_view authorization);
 
 } // namespace vanillagauge::wire
 
--- a/src/wire/call.hpp
+++ b/src/wire/call.hpp
@@ -48,20 +48,20 @@
                    std::function<void(result<done>)> on_done)
 {
     const codec encoding = link.encoding();
-    auto broken = std::make_shared<bool>(false);
-    auto chunk = [encoding, broken, on_message = std::move(on_message)](std::string_view bytes) {
+    auto malformed = std::make_shared<bool>(false);
+    auto chunk = [encoding, malformed, on_message = std::move(on_message)](std::string_view bytes) {
         Response message;
         if (!ok(decode(encoding, bytes, message))) {
-            *broken = true;
+            *malformed = true;
             return;
         }
         on_message(std::move(message));
     };
-    auto finish = [broken, on_done = std::move(on_done)](result<std::string> outcome) {
+    auto finish = [malformed, on_done = std::move(on_done)](result<std::string> outcome) {
         if (!ok(outcome)) {
             on_done(failure(outcome));
         }
-        else if (*broken) {
+        else if (*malformed) {
             on_done(error{error_code::incomplete, run_state::ran, "a message of the stream cannot be read"});
         }
         else {
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -13,12 +13,12 @@
 namespace vanillagauge::wire {
 namespace {
 
-constexpr std::size_t frame_head = 5;
+constexpr std::size_t frame_header_bytes = 5;
 constexpr char message_flag = 0;
 constexpr char error_flag = 1;
 constexpr std::string_view error_line_start = R"({"error":)";
-constexpr std::size_t largest_frame = 64U << 20U;
-constexpr int most_json_levels = 64;
+constexpr std::size_t max_frame_bytes = 64U << 20U;
+constexpr int max_json_depth = 64;
 
 std::string binary_frame(char flag, std::string_view encoded)
 {
@@ -32,8 +32,8 @@
 std::size_t frame_size(std::string_view head)
 {
     std::size_t size = 0;
-    for (std::size_t place = 1; place < frame_head; ++place) {
-        size = (size << 8U) | static_cast<unsigned char>(head[place]);
+    for (std::size_t index = 1; index < frame_header_bytes; ++index) {
+        size = (size << 8U) | static_cast<unsigned char>(head[index]);
     }
     return size;
 }
@@ -44,10 +44,10 @@
 {
     int level = 0;
     bool quoted = false;
-    for (std::size_t place = 0; place < text.size(); ++place) {
-        const char symbol = text[place];
+    for (std::size_t index = 0; index < text.size(); ++index) {
+        const char symbol = text[index];
         if (quoted) {
-            place += symbol == '\\' ? 1 : 0;
+            index += symbol == '\\' ? 1 : 0;
             quoted = symbol != '"';
         }
         else if (symbol == '"') {
@@ -59,7 +59,7 @@
         else if (symbol == '}' || symbol == ']') {
             --level;
         }
-        if (level > most_json_levels) {
+        if (level > max_json_depth) {
             return true;
         }
     }
@@ -73,7 +73,7 @@
     return nlohmann::json::parse(observe::json_text(text)).get<std::string>();
 }
 
-error unreadable(std::string_view what)
+error stream_error(std::string_view what)
 {
     return {error_code::incomplete, run_state::in_doubt, std::string(what)};
 }
@@ -83,7 +83,7 @@
     v1::Error message;
     const auto outcome = decode(encoding, body, message);
     if (!ok(outcome)) {
-        return unreadable("the error that ended the stream cannot be read");
+        return stream_error("the error that ended the stream cannot be read");
     }
     return from_message(message);
 }
@@ -136,7 +136,7 @@
     }
     if (too_deep(body)) {
         return error{error_code::invalid_argument, run_state::not_run,
-                     "expected JSON of at most " + std::to_string(most_json_levels) + " levels"};
+                     "expected JSON of at most " + std::to_string(max_json_depth) + " levels"};
     }
     const auto status = google::protobuf::util::JsonStringToMessage({body.data(), body.size()}, &message);
     if (!status.ok()) {
@@ -222,8 +222,8 @@
         start = end + 1;
     }
     pending_.erase(0, start);
-    if (pending_.size() > largest_frame) {
-        return unreadable("expected a line within the size limit, found a longer one");
+    if (pending_.size() > max_frame_bytes) {
+        return stream_error("expected a line within the size limit, found a longer one");
     }
     return done{};
 }
@@ -231,21 +231,21 @@
 result<done> frame_reader::feed_frames(const std::function<void(std::string_view)>& on_frame)
 {
     std::size_t start = 0;
-    while (pending_.size() - start >= frame_head) {
-        const std::string_view head(pending_.data() + start, frame_head);
+    while (pending_.size() - start >= frame_header_bytes) {
+        const std::string_view head(pending_.data() + start, frame_header_bytes);
         const std::size_t size = frame_size(head);
-        if (size > largest_frame) {
-            return unreadable("expected a frame within the size limit, found a longer one");
+        if (size > max_frame_bytes) {
+            return stream_error("expected a frame within the size limit, found a longer one");
         }
-        if (pending_.size() - start < frame_head + size) {
+        if (pending_.size() - start < frame_header_bytes + size) {
             break;
         }
-        const std::string_view payload(pending_.data() + start + frame_head, size);
+        const std::string_view payload(pending_.data() + start + frame_header_bytes, size);
         if (head.front() == error_flag) {
             return decoded_error(codec::protobuf, payload);
         }
         on_frame(payload);
-        start += frame_head + size;
+        start += frame_header_bytes + size;
     }
     pending_.erase(0, start);
     return done{};
--- a/src/wire/controller.hpp
+++ b/src/wire/controller.hpp
@@ -26,8 +26,9 @@
 public:
     using writer = std::function<void(const google::protobuf::Message&)>;
 
-    controller(incoming_call call, writer write, std::function<bool()> gone = {})
-        : call_(std::move(call)), write_(std::move(write)), gone_(std::move(gone))
+    controller(incoming_call call, writer write, std::function<bool()> client_disconnected = {})
+        : call_(std::move(call)), write_(std::move(write)),
+          client_disconnected_(std::move(client_disconnected))
     {
     }
 
@@ -46,13 +47,13 @@
     void StartCancel() override {}
     void SetFailed(const std::string& reason) override;
     /// The client of a streamed answer has gone: what is still written reaches nobody.
-    bool IsCanceled() const override { return gone_ && gone_(); }
+    bool IsCanceled() const override { return client_disconnected_ && client_disconnected_(); }
     void NotifyOnCancel(google::protobuf::Closure* callback) override;
 
 private:
     incoming_call call_;
     writer write_;
-    std::function<bool()> gone_;
+    std::function<bool()> client_disconnected_;
     std::optional<error> failure_;
 };
 
--- a/src/wire/dispatcher.cpp
+++ b/src/wire/dispatcher.cpp
@@ -17,16 +17,16 @@
     reply_sink sink;
     codec encoding = codec::json;
     bool streamed = false;
-    std::optional<observe::span> hop;
+    std::optional<observe::span> span;
 };
 
-void complete(running_call* raw)
+void finish_call(running_call* raw)
 {
     const std::unique_ptr<running_call> call(raw);
-    if (call->hop) {
+    if (call->span) {
         const auto& failed = call->control->failure();
-        call->hop->note("outcome", failed ? describe(*failed) : "ok");
-        call->hop.reset();
+        call->span->note("outcome", failed ? describe(*failed) : "ok");
+        call->span.reset();
     }
     if (call->control->failure()) {
         call->sink.finish(*call->control->failure());
@@ -37,17 +37,17 @@
 
 } // namespace
 
-void dispatcher::mount(google::protobuf::Service& service, role needed)
+void dispatcher::mount(google::protobuf::Service& service, role required)
 {
     const auto* description = service.GetDescriptor();
-    for (int place = 0; place < description->method_count(); ++place) {
-        const auto* method = description->method(place);
+    for (int index = 0; index < description->method_count(); ++index) {
+        const auto* method = description->method(index);
         const std::string path = "/" + description->full_name() + "/" + method->name();
-        routes_[path] = {&service, method, needed};
+        routes_[path] = {&service, method, required};
     }
 }
 
-bool dispatcher::streams(const std::string& path) const
+bool dispatcher::is_streaming(const std::string& path) const
 {
     const auto found = routes_.find(path);
     return found != routes_.end() && found->second.method->server_streaming();
@@ -61,9 +61,9 @@
         return;
     }
     const route& target = found->second;
-    if (!admits(access_, target.needed, call.authorization)) {
+    if (!is_authorized(access_, target.required, call.authorization)) {
         sink.finish(error{error_code::unauthenticated, run_state::not_run,
-                          "expected the bearer token of the role " + std::string(name(target.needed))});
+                          "expected the bearer token of the role " + std::string(name(target.required))});
         return;
     }
     auto running = std::make_unique<running_call>();
@@ -79,16 +79,16 @@
     running->sink = std::move(sink);
     if (call.traced) {
         const auto* served = target.method->service();
-        running->hop.emplace(call.trace, served->name() + "/" + target.method->name());
-        call.trace = running->hop->context();
+        running->span.emplace(call.trace, served->name() + "/" + target.method->name());
+        call.trace = running->span->context();
     }
     auto* raw = running.release();
     const auto write = [raw](const google::protobuf::Message& message) {
         raw->sink.chunk(encode(raw->encoding, message));
     };
-    raw->control = std::make_unique<controller>(std::move(call), write, raw->sink.gone);
+    raw->control = std::make_unique<controller>(std::move(call), write, raw->sink.client_disconnected);
     target.service->CallMethod(target.method, raw->control.get(), raw->request.get(), raw->response.get(),
-                               google::protobuf::NewCallback(&complete, raw));
+                               google::protobuf::NewCallback(&finish_call, raw));
 }
 
 } // namespace vanillagauge::wire
--- a/src/wire/dispatcher.hpp
+++ b/src/wire/dispatcher.hpp
@@ -16,7 +16,7 @@
 struct reply_sink {
     std::function<void(std::string)> chunk;          ///< one encoded message of a streamed answer
     std::function<void(result<std::string>)> finish; ///< the encoded answer; empty for a streamed one
-    std::function<bool()> gone{};                    ///< the client is known to have gone; empty: not known
+    std::function<bool()> client_disconnected{};     ///< the client is known to have gone; empty: not known
 };
 
 class dispatcher {
@@ -24,10 +24,10 @@
     explicit dispatcher(access_table access) : access_(std::move(access)) {}
 
     /// Opens every method of the service to one role. The service must outlive the dispatcher.
-    void mount(google::protobuf::Service& service, role needed);
+    void mount(google::protobuf::Service& service, role required);
 
     /// True where the path names a mounted method whose answer is streamed.
-    bool streams(const std::string& path) const;
+    bool is_streaming(const std::string& path) const;
 
     /// Checks, decodes and runs one call. The sink may be called from any thread, also before this returns.
     void dispatch(incoming_call call, codec encoding, const std::string& body, reply_sink sink) const;
@@ -36,7 +36,7 @@
     struct route {
         google::protobuf::Service* service;
         const google::protobuf::MethodDescriptor* method;
-        role needed;
+        role required;
     };
     access_table access_;
     std::map<std::string, route> routes_;
--- a/src/wire/http_channel.cpp
+++ b/src/wire/http_channel.cpp
@@ -20,7 +20,7 @@
 /// The library's own timer must never fire first: it cannot tell a deadline from a silence.
 constexpr std::chrono::hours library_timeout{24};
 /// A call given up later than this has waited long enough to ask whether its path is silent.
-constexpr milliseconds silent_after{100};
+constexpr milliseconds silence_threshold{100};
 
 http_client_config client_config()
 {
@@ -38,9 +38,9 @@
 };
 
 /// A channel's present client, which is replaced when its pool is found silent.
-class client_slot {
+class client_holder {
 public:
-    explicit client_slot(std::string address) : address_(std::move(address)), current_(make()) {}
+    explicit client_holder(std::string address) : address_(std::move(address)), current_(make()) {}
 
     std::shared_ptr<pooled_client> make() const { return std::make_shared<pooled_client>(address_); }
 
@@ -55,7 +55,7 @@
     // for every connection of the pool. Where nothing was answered during the whole of a call that timed out,
     // the pool is dropped; calls in flight keep their connections. An answer in the meantime shows that the
     // path works and the request alone is slow.
-    void drop_if_silent(const std::shared_ptr<pooled_client>& used, time_point since)
+    void replace_if_silent(const std::shared_ptr<pooled_client>& used, time_point since)
     {
         if (used->last_answer.load() > since) {
             return;
@@ -76,9 +76,10 @@
 class http_call : public std::enable_shared_from_this<http_call> {
 public:
     http_call(event_loop& loop, codec encoding, const call_options& options,
-              std::shared_ptr<client_slot> clients, channel::on_chunk chunk, channel::on_done done)
+              std::shared_ptr<client_holder> clients, channel::on_chunk chunk, channel::on_done done)
         : loop_(loop), encoding_(encoding), options_(options), clients_(std::move(clients)),
-          chunk_(std::move(chunk)), done_(std::move(done)), reader_(encoding), block_(chunk_ ? read_block : 0)
+          chunk_(std::move(chunk)), done_(std::move(done)), reader_(encoding),
+          read_buffer_(chunk_ ? read_block : 0)
     {
     }
 
@@ -86,40 +87,40 @@
     {
         client_ = options_.fresh_connection ? clients_->make() : clients_->current();
         auto self = shared_from_this();
-        began_ = steady::now();
-        last_progress_ = began_;
+        started_at_ = steady::now();
+        last_progress_ = started_at_;
         arm_deadline();
         if (chunk_ && options_.progress_timeout.count() > 0) {
             watch_progress();
         }
-        client_->client.request(request, stop_.get_token())
+        client_->client.request(request, cancellation_.get_token())
             .then([self](const pplx::task<http_response>& answer) { self->on_head(answer); });
     }
 
     /// A caller that gives up early says nothing of the connection; one that has waited does.
     void cancel()
     {
-        const bool waited = steady::now() - began_ >= silent_after;
-        abandon({error_code::cancelled, run_state::in_doubt, "the call was cancelled"}, waited);
+        const bool waited = steady::now() - started_at_ >= silence_threshold;
+        abort({error_code::cancelled, run_state::in_doubt, "the call was cancelled"}, waited);
     }
 
 private:
     event_loop& loop_;
     codec encoding_;
     call_options options_;
-    std::shared_ptr<client_slot> clients_;
+    std::shared_ptr<client_holder> clients_;
     channel::on_chunk chunk_;
     channel::on_done done_;
     std::shared_ptr<pooled_client> client_;
-    time_point began_;
-    pplx::cancellation_token_source stop_;
+    time_point started_at_;
+    pplx::cancellation_token_source cancellation_;
     std::atomic<bool> finished_{false};
     std::mutex mutex_;
     timer_cancel deadline_;
     time_point last_progress_;
     http_response response_;
     frame_reader reader_;
-    std::vector<std::uint8_t> block_;
+    std::vector<std::uint8_t> read_buffer_;
 
     void finish(result<std::string> outcome)
     {
@@ -138,20 +139,20 @@
     }
 
     /// The answer goes out first: the library may take its time to let go of a silent connection.
-    void abandon(error failure, bool maybe_silent)
+    void abort(error failure, bool maybe_silent)
     {
         if (maybe_silent && !finished_) {
-            clients_->drop_if_silent(client_, began_);
+            clients_->replace_if_silent(client_, started_at_);
         }
         finish(std::move(failure));
-        stop_.cancel();
+        cancellation_.cancel();
     }
 
     void arm_deadline()
     {
         auto self = shared_from_this();
         auto timer = loop_.after(options_.timeout, [self] {
-            self->abandon(
+            self->abort(
                 {error_code::deadline_exceeded, run_state::in_doubt, "no whole answer within the timeout"},
                 true);
         });
@@ -171,7 +172,7 @@
                 return;
             }
             if (steady::now() - self->progress() >= self->options_.progress_timeout) {
-                self->abandon({error_code::unavailable, run_state::in_doubt, "the stream went silent"}, true);
+                self->abort({error_code::unavailable, run_state::in_doubt, "the stream went silent"}, true);
                 return;
             }
             self->watch_progress();
@@ -184,7 +185,7 @@
         return last_progress_;
     }
 
-    void note_progress()
+    void record_progress()
     {
         const std::lock_guard lock(mutex_);
         last_progress_ = steady::now();
@@ -194,49 +195,49 @@
     {
         try {
             response_ = answer.get();
-            note_progress();
+            record_progress();
             client_->last_answer = steady::now();
             const bool succeeded = response_.status_code() == web::http::status_codes::OK;
             if (succeeded && chunk_) {
                 read_some();
                 return;
             }
-            read_whole(succeeded);
+            read_body(succeeded);
         }
-        catch (const web::http::http_exception& broken) {
-            finish(transport_error(broken));
+        catch (const web::http::http_exception& failed) {
+            finish(transport_error(failed));
         }
-        catch (const std::exception& broken) {
-            finish(error{error_code::unavailable, run_state::in_doubt, broken.what()});
+        catch (const std::exception& failed) {
+            finish(error{error_code::unavailable, run_state::in_doubt, failed.what()});
         }
     }
 
     /// The library reports a refused connection as host_unreachable; only then was nothing sent.
-    static error transport_error(const web::http::http_exception& broken)
+    static error transport_error(const web::http::http_exception& failed)
     {
-        const bool never_sent = broken.error_code() == std::errc::host_unreachable ||
-                                broken.error_code() == std::errc::connection_refused;
+        const bool never_sent = failed.error_code() == std::errc::host_unreachable ||
+                                failed.error_code() == std::errc::connection_refused;
         return {error_code::unavailable, never_sent ? run_state::not_run : run_state::in_doubt,
-                broken.what()};
+                failed.what()};
     }
 
-    void read_whole(bool succeeded)
+    void read_body(bool succeeded)
     {
         auto self = shared_from_this();
-        response_.extract_vector().then(
-            [self, succeeded](const pplx::task<std::vector<unsigned char>>& read) {
-                try {
-                    const auto bytes = read.get();
-                    std::string body(bytes.begin(), bytes.end());
-                    self->finish(succeeded ? result<std::string>(std::move(body)) : self->refusal(body));
-                }
-                catch (const std::exception& broken) {
-                    self->finish(error{error_code::incomplete, run_state::in_doubt, broken.what()});
-                }
-            });
+        response_.extract_vector().then([self,
+                                         succeeded](const pplx::task<std::vector<unsigned char>>& read) {
+            try {
+                const auto bytes = read.get();
+                std::string body(bytes.begin(), bytes.end());
+                self->finish(succeeded ? result<std::string>(std::move(body)) : self->error_from_body(body));
+            }
+            catch (const std::exception& failed) {
+                self->finish(error{error_code::incomplete, run_state::in_doubt, failed.what()});
+            }
+        });
     }
 
-    result<std::string> refusal(const std::string& body) const
+    result<std::string> error_from_body(const std::string& body) const
     {
         v1::Error message;
         if (!ok(decode(encoding_, body, message)) || message.code().empty()) {
@@ -251,24 +252,25 @@
     {
         auto self = shared_from_this();
         auto buffer = response_.body().streambuf();
-        buffer.getn(block_.data(), 1).then([self, buffer](const pplx::task<std::size_t>& first) mutable {
-            try {
-                std::size_t count = first.get();
-                if (count == 0) {
-                    self->end_stream();
-                    return;
+        buffer.getn(read_buffer_.data(), 1)
+            .then([self, buffer](const pplx::task<std::size_t>& first) mutable {
+                try {
+                    std::size_t count = first.get();
+                    if (count == 0) {
+                        self->end_stream();
+                        return;
+                    }
+                    count += self->take_available(buffer, 1);
+                    self->on_bytes(count);
                 }
-                count += self->take_available(buffer, 1);
-                self->on_bytes(count);
-            }
-            catch (const std::exception& broken) {
-                self->finish(error{error_code::incomplete, run_state::in_doubt, broken.what()});
-            }
-        });
+                catch (const std::exception& failed) {
+                    self->finish(error{error_code::incomplete, run_state::in_doubt, failed.what()});
+                }
+            });
     }
 
-    /// Copies what has arrived to `block_` from `start` on. Acquiring takes the buffer's lock; its count of
-    /// available bytes is read without one.
+    /// Copies what has arrived to `read_buffer_` from `start` on. Acquiring takes the buffer's lock; its
+    /// count of available bytes is read without one.
     std::size_t take_available(concurrency::streams::streambuf<std::uint8_t>& buffer, std::size_t start)
     {
         std::uint8_t* bytes = nullptr;
@@ -277,7 +279,7 @@
             return 0;
         }
         const std::size_t count = std::min(available, read_block - start);
-        std::copy_n(bytes, count, block_.data() + start);
+        std::copy_n(bytes, count, read_buffer_.data() + start);
         buffer.release(bytes, count);
         return count;
     }
@@ -287,11 +289,11 @@
         if (finished_) {
             return;
         }
-        note_progress();
-        const std::string_view bytes(reinterpret_cast<const char*>(block_.data()), count);
+        record_progress();
+        const std::string_view bytes(reinterpret_cast<const char*>(read_buffer_.data()), count);
         const auto fed = reader_.feed(bytes, chunk_);
         if (!ok(fed)) {
-            abandon(failure(fed), false);
+            abort(failure(fed), false);
             return;
         }
         read_some();
@@ -310,12 +312,12 @@
 } // namespace
 
 struct http_channel::state {
-    std::shared_ptr<client_slot> clients;
+    std::shared_ptr<client_holder> clients;
 };
 
 http_channel::http_channel(event_loop& loop, std::string address, codec encoding)
     : loop_(loop), encoding_(encoding),
-      state_(std::make_unique<state>(state{std::make_shared<client_slot>(std::move(address))}))
+      state_(std::make_unique<state>(state{std::make_shared<client_holder>(std::move(address))}))
 {
 }
 
--- a/src/wire/http_server.cpp
+++ b/src/wire/http_server.cpp
@@ -20,7 +20,7 @@
 using boost::asio::ip::tcp;
 
 constexpr milliseconds full_retry_after{1000};
-constexpr milliseconds accept_pause{50};
+constexpr milliseconds accept_retry_delay{50};
 
 std::atomic<std::size_t>& server_threads()
 {
@@ -39,28 +39,28 @@
 struct http_server::state {
     using connection = std::shared_ptr<internal::http_connection>;
 
-    internal::http_site site;
+    internal::server_context shared;
     boost::asio::io_context context;
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> guard{context.get_executor()};
-    boost::asio::strand<boost::asio::io_context::executor_type> accepting{context.get_executor()};
-    tcp::acceptor acceptor{accepting};
-    boost::asio::steady_timer accept_again{accepting};
+    boost::asio::strand<boost::asio::io_context::executor_type> accept_strand{context.get_executor()};
+    tcp::acceptor acceptor{accept_strand};
+    boost::asio::steady_timer accept_retry_timer{accept_strand};
     std::vector<std::thread> threads;
     std::mutex mutex;
-    std::condition_variable ended;
+    std::condition_variable connection_ended;
     std::set<connection> connections;
     bool draining = false;
     bool listening = true;
 
     state(const dispatcher& calls, http_limits limits,
           std::map<std::string, std::function<std::string()>> pages)
-        : site{calls, limits, std::move(pages)}
+        : shared{calls, limits, std::move(pages)}
     {
     }
 
     void run()
     {
-        for (std::size_t place = 0; place < server_threads(); ++place) {
+        for (std::size_t index = 0; index < server_threads(); ++index) {
             threads.emplace_back([this] { context.run(); });
         }
     }
@@ -76,10 +76,10 @@
     void on_accept(const boost::system::error_code& failed, tcp::socket peer)
     {
         if (!failed) {
-            adopt(std::move(peer));
+            start_connection(std::move(peer));
         }
         if (!acceptor.is_open()) {
-            note_closed();
+            on_acceptor_closed();
             return;
         }
         if (!failed) {
@@ -87,35 +87,35 @@
             return;
         }
         // Out of file descriptors, most likely: the accept fails at once again and again, so it pauses.
-        accept_again.expires_after(accept_pause);
-        accept_again.async_wait([this](const boost::system::error_code& cancelled) {
+        accept_retry_timer.expires_after(accept_retry_delay);
+        accept_retry_timer.async_wait([this](const boost::system::error_code& cancelled) {
             if (cancelled) {
-                note_closed();
+                on_acceptor_closed();
                 return;
             }
             accept();
         });
     }
 
-    void adopt(tcp::socket peer)
+    void start_connection(tcp::socket peer)
     {
         boost::system::error_code ignored;
         peer.set_option(tcp::no_delay(true), ignored);
-        auto accepted = std::make_shared<internal::http_connection>(std::move(peer), site);
+        auto accepted = std::make_shared<internal::http_connection>(std::move(peer), shared);
         bool full = false;
         bool stops = false;
         {
             const std::lock_guard lock(mutex);
-            full = connections.size() >= site.limits.connections;
+            full = connections.size() >= shared.limits.connections;
             stops = draining;
             connections.insert(accepted);
         }
         const std::weak_ptr<internal::http_connection> weak = accepted;
-        const auto on_end = [this, weak] { forget(weak.lock()); };
+        const auto on_end = [this, weak] { remove_connection(weak.lock()); };
         if (full) {
-            accepted->refuse({error_code::overloaded, run_state::not_run,
-                              "every connection of this address is taken", full_retry_after},
-                             on_end);
+            accepted->reject_connection({error_code::overloaded, run_state::not_run,
+                                         "every connection of this address is taken", full_retry_after},
+                                        on_end);
         }
         else {
             accepted->start(on_end);
@@ -125,11 +125,11 @@
         }
     }
 
-    void forget(const connection& over)
+    void remove_connection(const connection& over)
     {
         const std::lock_guard lock(mutex);
         connections.erase(over);
-        ended.notify_all();
+        connection_ended.notify_all();
     }
 
     /// A client whose connection the kernel has already taken may have sent its request; closing the listener
@@ -142,30 +142,30 @@
             tcp::socket peer(boost::asio::make_strand(context));
             acceptor.accept(peer, failed);
             if (!failed) {
-                adopt(std::move(peer));
+                start_connection(std::move(peer));
             }
         }
         acceptor.close(failed);
-        accept_again.cancel();
+        accept_retry_timer.cancel();
     }
 
     /// The last accept has ended, and with it the chance of one more connection.
-    void note_closed()
+    void on_acceptor_closed()
     {
         const std::lock_guard lock(mutex);
         listening = false;
-        ended.notify_all();
+        connection_ended.notify_all();
     }
 
     void drain()
     {
         std::unique_lock lock(mutex);
         draining = true;
-        boost::asio::post(accepting, [this] { close_acceptor(); });
+        boost::asio::post(accept_strand, [this] { close_acceptor(); });
         for (const auto& open : connections) {
             open->drain();
         }
-        ended.wait(lock, [this] { return !listening && connections.empty(); });
+        connection_ended.wait(lock, [this] { return !listening && connections.empty(); });
     }
 
     void stop()
@@ -199,16 +199,16 @@
     const auto& [host, port] = value(parsed);
     const tcp::endpoint local(boost::asio::ip::make_address(host), port);
     auto& acceptor = state_->acceptor;
-    boost::system::error_code refused;
-    acceptor.open(local.protocol(), refused);
-    acceptor.set_option(tcp::acceptor::reuse_address(true), refused);
-    acceptor.bind(local, refused);
-    if (!refused) {
-        acceptor.listen(boost::asio::socket_base::max_listen_connections, refused);
+    boost::system::error_code failed;
+    acceptor.open(local.protocol(), failed);
+    acceptor.set_option(tcp::acceptor::reuse_address(true), failed);
+    acceptor.bind(local, failed);
+    if (!failed) {
+        acceptor.listen(boost::asio::socket_base::max_listen_connections, failed);
     }
-    if (refused) {
+    if (failed) {
         return error{error_code::unavailable, run_state::not_run,
-                     "cannot listen on " + address + ": " + refused.message()};
+                     "cannot listen on " + address + ": " + failed.message()};
     }
     const auto bound = host + ":" + std::to_string(acceptor.local_endpoint().port());
     state_->accept();
--- a/src/wire/http_server.hpp
+++ b/src/wire/http_server.hpp
@@ -16,7 +16,7 @@
     std::size_t body_bytes = 4U << 20U;
     std::size_t header_bytes = 16U << 10U;
     /// Answer bytes kept for a client that reads too slowly; a stream beyond them is cut.
-    std::size_t unread_bytes = 8U << 20U;
+    std::size_t unsent_bytes = 8U << 20U;
     std::size_t connections = 4096;
     milliseconds header_time{10000}; ///< from the first byte of a request to the end of its headers
     milliseconds body_time{10000};   ///< longest time a sender may take over its body
--- a/src/wire/internal/http2_session.cpp
+++ b/src/wire/internal/http2_session.cpp
@@ -9,7 +9,7 @@
 namespace vanillagauge::wire::internal {
 namespace {
 
-constexpr std::uint32_t most_streams = 10000;
+constexpr std::uint32_t max_streams = 10000;
 constexpr std::uint32_t window_bytes = 4U << 20U;
 
 nghttp2_nv to_nv(const std::pair<std::string, std::string>& header)
@@ -120,7 +120,7 @@
     boost::system::error_code ignored;
     socket_.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
     const std::array<nghttp2_settings_entry, 2> settings{{
-        {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, most_streams},
+        {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, max_streams},
         {NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, window_bytes},
     }};
     nghttp2_submit_settings(session_, NGHTTP2_FLAG_NONE, settings.data(), settings.size());
@@ -189,8 +189,8 @@
 {
     auto self = shared_from_this();
     socket_.async_read_some(
-        boost::asio::buffer(block_), [self](const boost::system::error_code& broken, std::size_t count) {
-            if (broken || self->closed_) {
+        boost::asio::buffer(block_), [self](const boost::system::error_code& failed, std::size_t count) {
+            if (failed || self->closed_) {
                 self->close();
                 return;
             }
@@ -225,9 +225,9 @@
     writing_ = true;
     auto self = shared_from_this();
     boost::asio::async_write(socket_, boost::asio::buffer(write_buffer_),
-                             [self](const boost::system::error_code& broken, std::size_t /*count*/) {
+                             [self](const boost::system::error_code& failed, std::size_t /*count*/) {
                                  self->writing_ = false;
-                                 if (broken) {
+                                 if (failed) {
                                      self->close();
                                      return;
                                  }
--- a/src/wire/internal/http_connection.cpp
+++ b/src/wire/internal/http_connection.cpp
@@ -12,7 +12,7 @@
 using tcp = boost::asio::ip::tcp;
 using http::status;
 
-constexpr std::size_t largest_timeout_digits = 9;
+constexpr std::size_t max_timeout_digits = 9;
 
 std::string to_text(boost::beast::string_view text)
 {
@@ -24,7 +24,7 @@
     return static_cast<unsigned>(code);
 }
 
-error refused(vanillagauge::error_code code, std::string detail)
+error not_run_error(vanillagauge::error_code code, std::string detail)
 {
     return {code, run_state::not_run, std::move(detail)};
 }
@@ -34,25 +34,25 @@
     if (text.empty()) {
         return milliseconds{0};
     }
-    if (text.size() > largest_timeout_digits || text.find_first_not_of("0123456789") != std::string::npos) {
-        return refused(vanillagauge::error_code::invalid_argument,
-                       "expected X-Timeout-Ms as whole milliseconds below 1000000000, found \"" +
-                           text.substr(0, 2 * largest_timeout_digits) + "\"");
+    if (text.size() > max_timeout_digits || text.find_first_not_of("0123456789") != std::string::npos) {
+        return not_run_error(vanillagauge::error_code::invalid_argument,
+                             "expected X-Timeout-Ms as whole milliseconds below 1000000000, found \"" +
+                                 text.substr(0, 2 * max_timeout_digits) + "\"");
     }
     return milliseconds{std::stol(text)};
 }
 
 error body_too_large(const http_limits& limits)
 {
-    return refused(vanillagauge::error_code::too_large,
-                   "expected a body of at most " + std::to_string(limits.body_bytes) + " bytes");
+    return not_run_error(vanillagauge::error_code::too_large,
+                         "expected a body of at most " + std::to_string(limits.body_bytes) + " bytes");
 }
 
 } // namespace
 
-http_connection::http_connection(socket peer, const http_site& site)
+http_connection::http_connection(socket peer, const server_context& context)
     : socket_(std::move(peer)), read_timer_(socket_.get_executor()), write_timer_(socket_.get_executor()),
-      site_(site)
+      context_(context)
 {
 }
 
@@ -70,28 +70,28 @@
     boost::asio::post(socket_.get_executor(), [self = shared_from_this()] {
         self->draining_ = true;
         // An answer whose head is out has told the client already whether its connection is kept.
-        const bool told = self->stream_started_ || self->reply_whole_;
-        self->form_.keep_alive = self->form_.keep_alive && told;
+        const bool head_sent = self->stream_started_ || self->reply_complete_;
+        self->reply_options_.keep_alive = self->reply_options_.keep_alive && head_sent;
         if (self->stage_ == stage::idle) {
             // A request may be on its way over this kept connection; closing at once would cut it.
-            self->allow_reading(self->site_.limits.drain_grace);
+            self->arm_read_timer(self->context_.limits.drain_grace);
         }
     });
 }
 
-void http_connection::refuse(const error& failure, std::function<void()> on_end)
+void http_connection::reject_connection(const error& failure, std::function<void()> on_end)
 {
     boost::asio::post(socket_.get_executor(),
                       [self = shared_from_this(), failure, on_end = std::move(on_end)]() mutable {
                           self->on_end_ = std::move(on_end);
-                          self->reject(failure, 0);
+                          self->reject_request(failure, 0);
                       });
 }
 
-/// The timer cancels the reads of the socket; the reader then finds `read_late_` set.
-void http_connection::allow_reading(milliseconds time)
+/// The timer cancels the reads of the socket; the reader then finds `read_timed_out_` set.
+void http_connection::arm_read_timer(milliseconds time)
 {
-    read_late_ = false;
+    read_timed_out_ = false;
     read_timer_.expires_after(time);
     read_timer_.async_wait([self = shared_from_this()](const error_code& cancelled) {
         const bool reading =
@@ -101,7 +101,7 @@
         if (cancelled || !reading || !over) {
             return;
         }
-        self->read_late_ = true;
+        self->read_timed_out_ = true;
         error_code ignored;
         self->socket_.cancel(ignored);
     });
@@ -110,15 +110,15 @@
 void http_connection::await_request()
 {
     stage_ = stage::idle;
-    form_ = {};
-    form_.keep_alive = !draining_;
+    reply_options_ = {};
+    reply_options_.keep_alive = !draining_;
     stream_started_ = false;
-    reply_whole_ = false;
+    reply_complete_ = false;
     if (buffer_.size() > 0) {
         read_head();
         return;
     }
-    allow_reading(draining_ ? site_.limits.drain_grace : site_.limits.idle_time);
+    arm_read_timer(draining_ ? context_.limits.drain_grace : context_.limits.idle_time);
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](const error_code& failed) {
         if (failed) {
             self->end();
@@ -132,9 +132,9 @@
 {
     stage_ = stage::head;
     parser_.emplace();
-    parser_->header_limit(static_cast<std::uint32_t>(site_.limits.header_bytes));
-    parser_->body_limit(site_.limits.body_bytes);
-    allow_reading(site_.limits.header_time);
+    parser_->header_limit(static_cast<std::uint32_t>(context_.limits.header_bytes));
+    parser_->body_limit(context_.limits.body_bytes);
+    arm_read_timer(context_.limits.header_time);
     http::async_read_header(
         socket_, buffer_, *parser_,
         [self = shared_from_this()](const error_code& failed, std::size_t) { self->on_head(failed); });
@@ -143,26 +143,29 @@
 void http_connection::on_head(error_code failed)
 {
     using code = vanillagauge::error_code;
-    if (read_late_) {
-        reject(refused(code::deadline_exceeded, "expected the headers within " +
-                                                    std::to_string(site_.limits.header_time.count()) + " ms"),
-               number(status::request_timeout));
+    if (read_timed_out_) {
+        reject_request(not_run_error(code::deadline_exceeded,
+                                     "expected the headers within " +
+                                         std::to_string(context_.limits.header_time.count()) + " ms"),
+                       number(status::request_timeout));
         return;
     }
     if (failed == http::error::header_limit) {
-        reject(refused(code::too_large,
-                       "expected headers of at most " + std::to_string(site_.limits.header_bytes) + " bytes"),
-               number(status::request_header_fields_too_large));
+        reject_request(not_run_error(code::too_large, "expected headers of at most " +
+                                                          std::to_string(context_.limits.header_bytes) +
+                                                          " bytes"),
+                       number(status::request_header_fields_too_large));
         return;
     }
     if (failed == http::error::body_limit) {
-        reject(body_too_large(site_.limits), 0);
+        reject_request(body_too_large(context_.limits), 0);
         return;
     }
     if (failed && failed.category() == http::make_error_code(http::error::bad_method).category() &&
         failed != http::error::end_of_stream) {
-        reject(refused(code::invalid_argument, "expected an HTTP/1.1 request, found: " + failed.message()),
-               0);
+        reject_request(
+            not_run_error(code::invalid_argument, "expected an HTTP/1.1 request, found: " + failed.message()),
+            0);
         return;
     }
     if (failed) {
@@ -170,13 +173,13 @@
         return;
     }
     const auto& request = parser_->get();
-    form_.version = request.version();
-    form_.keep_alive = request.keep_alive() && !draining_;
+    reply_options_.version = request.version();
+    reply_options_.keep_alive = request.keep_alive() && !draining_;
     const auto encoding = parse_content_type(to_text(request[http::field::content_type]));
-    form_.encoding = ok(encoding) ? value(encoding) : codec::json;
+    reply_options_.encoding = ok(encoding) ? value(encoding) : codec::json;
     unsigned as_status = 0;
     if (const auto wrong = check_head(as_status)) {
-        reject(*wrong, as_status);
+        reject_request(*wrong, as_status);
         return;
     }
     if (request[http::field::expect] == "100-continue" && !parser_->is_done()) {
@@ -195,8 +198,8 @@
     }
     if (request.method() != http::verb::post) {
         as_status = number(status::method_not_allowed);
-        return refused(code::invalid_argument,
-                       "expected GET or POST, found " + to_text(request.method_string()).substr(0, 32));
+        return not_run_error(code::invalid_argument,
+                             "expected GET or POST, found " + to_text(request.method_string()).substr(0, 32));
     }
     const auto encoding = parse_content_type(to_text(request[http::field::content_type]));
     if (!ok(encoding)) {
@@ -208,10 +211,10 @@
         return failure(timeout);
     }
     const auto length = parser_->content_length();
-    if (length && *length > site_.limits.body_bytes) {
-        return refused(code::too_large, "expected a body of at most " +
-                                            std::to_string(site_.limits.body_bytes) + " bytes, found " +
-                                            std::to_string(*length));
+    if (length && *length > context_.limits.body_bytes) {
+        return not_run_error(code::too_large, "expected a body of at most " +
+                                                  std::to_string(context_.limits.body_bytes) +
+                                                  " bytes, found " + std::to_string(*length));
     }
     return std::nullopt;
 }
@@ -219,7 +222,7 @@
 void http_connection::read_body()
 {
     stage_ = stage::body;
-    allow_reading(site_.limits.body_time);
+    arm_read_timer(context_.limits.body_time);
     http::async_read(
         socket_, buffer_, *parser_,
         [self = shared_from_this()](const error_code& failed, std::size_t) { self->on_body(failed); });
@@ -228,19 +231,20 @@
 void http_connection::on_body(error_code failed)
 {
     using code = vanillagauge::error_code;
-    if (read_late_) {
-        reject(refused(code::deadline_exceeded, "expected the whole body within " +
-                                                    std::to_string(site_.limits.body_time.count()) + " ms"),
-               number(status::request_timeout));
+    if (read_timed_out_) {
+        reject_request(not_run_error(code::deadline_exceeded,
+                                     "expected the whole body within " +
+                                         std::to_string(context_.limits.body_time.count()) + " ms"),
+                       number(status::request_timeout));
         return;
     }
     if (failed == http::error::body_limit) {
-        reject(body_too_large(site_.limits), 0);
+        reject_request(body_too_large(context_.limits), 0);
         return;
     }
     if (failed) {
-        reject(refused(code::incomplete, "expected the whole body, found: " + failed.message()),
-               number(status::bad_request));
+        reject_request(not_run_error(code::incomplete, "expected the whole body, found: " + failed.message()),
+                       number(status::bad_request));
         return;
     }
     read_timer_.cancel();
@@ -249,11 +253,11 @@
 }
 
 /// Answers and gives the connection up: where the next request starts is not known any more.
-void http_connection::reject(const error& failure, unsigned as_status)
+void http_connection::reject_request(const error& failure, unsigned as_status)
 {
     stage_ = stage::call;
-    form_.keep_alive = false;
-    finish_reply(error_reply(form_, failure, as_status));
+    reply_options_.keep_alive = false;
+    finish_reply(error_reply(reply_options_, failure, as_status));
 }
 
 void http_connection::serve()
@@ -270,12 +274,13 @@
 {
     const auto target = to_text(parser_->get().target());
     const auto path = target.substr(0, target.find('?'));
-    const auto page = site_.pages.find(path);
-    if (page == site_.pages.end()) {
-        finish_reply(error_reply(form_, refused(vanillagauge::error_code::not_found, "no page at " + path)));
+    const auto page = context_.pages.find(path);
+    if (page == context_.pages.end()) {
+        finish_reply(error_reply(reply_options_,
+                                 not_run_error(vanillagauge::error_code::not_found, "no page at " + path)));
         return;
     }
-    finish_reply(success_reply(form_, "text/plain; version=0.0.4", page->second()));
+    finish_reply(success_reply(reply_options_, "text/plain; version=0.0.4", page->second()));
 }
 
 void http_connection::serve_call()
@@ -288,41 +293,41 @@
     call.trace = observe::parse_traceparent(to_text(request["traceparent"]));
     call.traced = true;
     call.timeout = value(parse_timeout(to_text(request["X-Timeout-Ms"])));
-    form_.traceparent = observe::traceparent(call.trace);
+    reply_options_.traceparent = observe::traceparent(call.trace);
     const std::string body = std::move(request.body());
     parser_.reset();
-    auto sink = site_.calls.streams(call.path) ? streamed_sink() : single_sink();
-    site_.calls.dispatch(std::move(call), form_.encoding, body, std::move(sink));
+    auto sink = context_.calls.is_streaming(call.path) ? streaming_sink() : unary_sink();
+    context_.calls.dispatch(std::move(call), reply_options_.encoding, body, std::move(sink));
 }
 
 /// Handlers answer from any thread, also before `dispatch` returns; the connection is touched on its strand.
-reply_sink http_connection::single_sink()
+reply_sink http_connection::unary_sink()
 {
     reply_sink sink;
     sink.finish = [self = shared_from_this()](result<std::string> outcome) {
         boost::asio::post(self->socket_.get_executor(), [self, outcome = std::move(outcome)] {
-            const auto& form = self->form_;
-            self->finish_reply(ok(outcome)
-                                   ? success_reply(form, content_type(form.encoding, false), value(outcome))
-                                   : error_reply(form, failure(outcome)));
+            const auto& options = self->reply_options_;
+            self->finish_reply(
+                ok(outcome) ? success_reply(options, content_type(options.encoding, false), value(outcome))
+                            : error_reply(options, failure(outcome)));
         });
     };
     return sink;
 }
 
-reply_sink http_connection::streamed_sink()
+reply_sink http_connection::streaming_sink()
 {
     reply_sink sink;
     sink.chunk = [self = shared_from_this()](std::string encoded) {
         boost::asio::post(self->socket_.get_executor(), [self, encoded = std::move(encoded)] {
-            self->add_chunk(frame(self->form_.encoding, encoded));
+            self->add_chunk(frame(self->reply_options_.encoding, encoded));
         });
     };
     sink.finish = [self = shared_from_this()](result<std::string> outcome) {
         boost::asio::post(self->socket_.get_executor(),
                           [self, outcome = std::move(outcome)] { self->finish_stream(outcome); });
     };
-    sink.gone = [self = shared_from_this()] { return self->gone_.load(); };
+    sink.client_disconnected = [self = shared_from_this()] { return self->client_disconnected_.load(); };
     return sink;
 }
 
@@ -330,26 +335,26 @@
 void http_connection::add_chunk(const std::string& bytes)
 {
     if (!std::exchange(stream_started_, true)) {
-        form_.keep_alive = form_.keep_alive && form_.version >= 11;
-        queue(stream_head(form_));
+        reply_options_.keep_alive = reply_options_.keep_alive && reply_options_.version >= 11;
+        queue(stream_head(reply_options_));
     }
-    queue(stream_chunk(form_, bytes));
+    queue(stream_chunk(reply_options_, bytes));
 }
 
 void http_connection::finish_stream(const result<std::string>& outcome)
 {
     if (!ok(outcome) && !stream_started_) {
-        finish_reply(error_reply(form_, failure(outcome)));
+        finish_reply(error_reply(reply_options_, failure(outcome)));
         return;
     }
     if (!stream_started_) {
         stream_started_ = true;
-        queue(stream_head(form_));
+        queue(stream_head(reply_options_));
     }
     if (!ok(outcome)) {
-        queue(stream_chunk(form_, error_frame(form_.encoding, failure(outcome))));
+        queue(stream_chunk(reply_options_, error_frame(reply_options_.encoding, failure(outcome))));
     }
-    finish_reply(stream_end(form_));
+    finish_reply(stream_end(reply_options_));
 }
 
 void http_connection::queue(std::string bytes)
@@ -358,10 +363,10 @@
         return;
     }
     outgoing_bytes_ += bytes.size();
-    if (stream_started_ && outgoing_bytes_ > site_.limits.unread_bytes) {
+    if (stream_started_ && outgoing_bytes_ > context_.limits.unsent_bytes) {
         // A reader that stands still would have the whole stream kept for it in memory. The stream is cut
         // without its last chunk, so the reader cannot take it for whole.
-        gone_ = true;
+        client_disconnected_ = true;
         error_code ignored;
         socket_.close(ignored);
         return;
@@ -372,7 +377,7 @@
 
 void http_connection::finish_reply(std::string bytes)
 {
-    reply_whole_ = true;
+    reply_complete_ = true;
     if (!socket_.is_open()) {
         end();
         return;
@@ -389,7 +394,7 @@
         return;
     }
     writing_ = true;
-    write_timer_.expires_after(site_.limits.write_time);
+    write_timer_.expires_after(context_.limits.write_time);
     write_timer_.async_wait([self = shared_from_this()](const error_code& cancelled) {
         const bool over = self->write_timer_.expiry() <= std::chrono::steady_clock::now();
         if (!cancelled && over && self->writing_) {
@@ -409,11 +414,11 @@
     if (failed) {
         // The reader has gone or stands still. A handler may still run: its chunks are dropped, and the
         // connection ends with its answer.
-        gone_ = true;
+        client_disconnected_ = true;
         error_code ignored;
         socket_.close(ignored);
         outgoing_.clear();
-        if (reply_whole_) {
+        if (reply_complete_) {
             end();
         }
         return;
@@ -423,14 +428,14 @@
     if (!outgoing_.empty()) {
         write_next();
     }
-    else if (reply_whole_) {
+    else if (reply_complete_) {
         on_reply_sent();
     }
 }
 
 void http_connection::on_reply_sent()
 {
-    if (form_.keep_alive) {
+    if (reply_options_.keep_alive) {
         await_request();
         return;
     }
@@ -448,7 +453,7 @@
         return;
     }
     stage_ = stage::head;
-    allow_reading(site_.limits.linger_time);
+    arm_read_timer(context_.limits.linger_time);
     discard();
 }
 
@@ -458,7 +463,7 @@
     constexpr std::size_t block = 16U << 10U;
     socket_.async_read_some(buffer_.prepare(block),
                             [self = shared_from_this()](const error_code& failed, std::size_t) {
-                                if (failed || self->read_late_) {
+                                if (failed || self->read_timed_out_) {
                                     self->end();
                                     return;
                                 }
--- a/src/wire/internal/http_connection.hpp
+++ b/src/wire/internal/http_connection.hpp
@@ -20,7 +20,7 @@
 namespace vanillagauge::wire::internal {
 
 /// What a server's connections share.
-struct http_site {
+struct server_context {
     const dispatcher& calls;
     http_limits limits;
     std::map<std::string, std::function<std::string()>> pages;
@@ -31,14 +31,14 @@
 public:
     using socket = boost::asio::ip::tcp::socket;
 
-    http_connection(socket peer, const http_site& site);
+    http_connection(socket peer, const server_context& context);
 
     /// From any thread. `on_end` runs once, when the socket is closed.
     void start(std::function<void()> on_end);
     /// From any thread. Answers what is in flight, then ends; an idle connection ends after a short grace.
     void drain();
     /// From any thread. Turns the connection away with this answer.
-    void refuse(const error& failure, std::function<void()> on_end);
+    void reject_connection(const error& failure, std::function<void()> on_end);
 
 private:
     enum class stage { idle, head, body, call, ended };
@@ -47,20 +47,20 @@
     socket socket_;
     boost::asio::steady_timer read_timer_;
     boost::asio::steady_timer write_timer_;
-    const http_site& site_;
+    const server_context& context_;
     boost::beast::flat_buffer buffer_;
     std::optional<parser> parser_;
     std::function<void()> on_end_;
     std::deque<std::string> outgoing_;
     std::size_t outgoing_bytes_ = 0;
-    reply_form form_;
+    reply_options reply_options_;
     stage stage_ = stage::ended;
     bool draining_ = false;
-    bool read_late_ = false;
+    bool read_timed_out_ = false;
     bool writing_ = false;
-    bool reply_whole_ = false; ///< the last byte of the current answer is in `outgoing_`
+    bool reply_complete_ = false; ///< the last byte of the current answer is in `outgoing_`
     bool stream_started_ = false;
-    std::atomic<bool> gone_{false}; ///< read by handlers on any thread
+    std::atomic<bool> client_disconnected_{false}; ///< read by handlers on any thread
 
     // Reading.
     void await_request();
@@ -68,16 +68,16 @@
     void on_head(boost::system::error_code failed);
     void read_body();
     void on_body(boost::system::error_code failed);
-    void allow_reading(milliseconds time);
-    void reject(const error& failure, unsigned status);
+    void arm_read_timer(milliseconds time);
+    void reject_request(const error& failure, unsigned status);
     std::optional<error> check_head(unsigned& status);
 
     // Serving.
     void serve();
     void serve_page();
     void serve_call();
-    reply_sink streamed_sink();
-    reply_sink single_sink();
+    reply_sink streaming_sink();
+    reply_sink unary_sink();
     void add_chunk(const std::string& bytes);
     void finish_stream(const result<std::string>& outcome);
 
--- a/src/wire/internal/http_reply.cpp
+++ b/src/wire/internal/http_reply.cpp
@@ -17,14 +17,14 @@
 
 using head = http::response<http::empty_body>;
 
-head start_head(const reply_form& form, unsigned status)
+head start_head(const reply_options& options, unsigned status)
 {
     head response;
-    response.version(form.version);
+    response.version(options.version);
     response.result(status);
-    response.keep_alive(form.keep_alive);
-    if (!form.traceparent.empty()) {
-        response.set("traceparent", form.traceparent);
+    response.keep_alive(options.keep_alive);
+    if (!options.traceparent.empty()) {
+        response.set("traceparent", options.traceparent);
     }
     return response;
 }
@@ -36,7 +36,7 @@
     return text.str();
 }
 
-std::string whole(head response, std::string_view type, const std::string& body)
+std::string with_body(head response, std::string_view type, const std::string& body)
 {
     response.set(http::field::content_type, {type.data(), type.size()});
     response.content_length(body.size());
@@ -86,14 +86,14 @@
     return static_cast<unsigned>(status);
 }
 
-std::string success_reply(const reply_form& form, std::string_view type, const std::string& body)
+std::string success_reply(const reply_options& options, std::string_view type, const std::string& body)
 {
-    return whole(start_head(form, static_cast<unsigned>(http::status::ok)), type, body);
+    return with_body(start_head(options, static_cast<unsigned>(http::status::ok)), type, body);
 }
 
-std::string error_reply(const reply_form& form, const error& failure, unsigned status)
+std::string error_reply(const reply_options& options, const error& failure, unsigned status)
 {
-    auto response = start_head(form, status == 0 ? http_status(failure.code) : status);
+    auto response = start_head(options, status == 0 ? http_status(failure.code) : status);
     if (failure.retry_after.count() > 0) {
         const auto whole_seconds = std::chrono::ceil<seconds>(failure.retry_after).count();
         response.set(http::field::retry_after, std::to_string(whole_seconds));
@@ -101,32 +101,32 @@
     if (response.result() == http::status::method_not_allowed) {
         response.set(http::field::allow, "GET, POST");
     }
-    return whole(std::move(response), content_type(form.encoding, false),
-                 encode(form.encoding, to_message(failure)));
+    return with_body(std::move(response), content_type(options.encoding, false),
+                     encode(options.encoding, to_message(failure)));
 }
 
-std::string stream_head(const reply_form& form)
+std::string stream_head(const reply_options& options)
 {
-    auto response = start_head(form, static_cast<unsigned>(http::status::ok));
-    const auto type = content_type(form.encoding, true);
+    auto response = start_head(options, static_cast<unsigned>(http::status::ok));
+    const auto type = content_type(options.encoding, true);
     response.set(http::field::content_type, {type.data(), type.size()});
-    if (form.version >= http_1_1) {
+    if (options.version >= http_1_1) {
         response.chunked(true);
     }
     return text_of(response);
 }
 
-std::string stream_chunk(const reply_form& form, const std::string& bytes)
+std::string stream_chunk(const reply_options& options, const std::string& bytes)
 {
-    if (form.version < http_1_1) {
+    if (options.version < http_1_1) {
         return bytes;
     }
     return beast::buffers_to_string(http::make_chunk(boost::asio::buffer(bytes)));
 }
 
-std::string stream_end(const reply_form& form)
+std::string stream_end(const reply_options& options)
 {
-    return form.version < http_1_1 ? std::string() : beast::buffers_to_string(http::make_chunk_last());
+    return options.version < http_1_1 ? std::string() : beast::buffers_to_string(http::make_chunk_last());
 }
 
 } // namespace vanillagauge::wire::internal
--- a/src/wire/peer_channel.cpp
+++ b/src/wire/peer_channel.cpp
@@ -79,8 +79,8 @@
         }
         auto self = shared_from_this();
         call->deadline = loop.after(call->options.timeout, [self, call] {
-            self->give_up(call, {error_code::deadline_exceeded, run_state::in_doubt,
-                                 "no answer from " + self->address});
+            self->abort(call, {error_code::deadline_exceeded, run_state::in_doubt,
+                               "no answer from " + self->address});
         });
         if (session) {
             send(call);
@@ -113,7 +113,7 @@
         sent[stream] = call;
     }
 
-    void give_up(const call_ptr& call, error failure)
+    void abort(const call_ptr& call, error failure)
     {
         if (call->stream == 0) {
             std::erase(unsent, call);
@@ -132,61 +132,61 @@
         }
         const auto parsed = parse_endpoint(address);
         if (!ok(parsed)) {
-            refuse_unsent(failure(parsed).detail);
+            fail_unsent(failure(parsed).detail);
             return;
         }
         auto self = shared_from_this();
         auto socket = std::make_shared<tcp::socket>(loop.context());
         connecting = socket;
-        auto timer = loop.after(timing.connect, [socket] {
+        auto timer = loop.after(timing.connect_timeout, [socket] {
             boost::system::error_code ignored;
             socket->close(ignored);
         });
         const tcp::endpoint remote(boost::asio::ip::make_address(value(parsed).host), value(parsed).port);
-        socket->async_connect(remote, [self, socket, timer](const boost::system::error_code& refused) {
+        socket->async_connect(remote, [self, socket, timer](const boost::system::error_code& failed) {
             timer();
             self->connecting.reset();
-            if (refused || self->closed) {
-                self->refuse_unsent("cannot connect to " + self->address + ": " + refused.message());
+            if (failed || self->closed) {
+                self->fail_unsent("cannot connect to " + self->address + ": " + failed.message());
                 return;
             }
-            self->adopt(std::move(*socket));
+            self->start_session(std::move(*socket));
         });
     }
 
-    void refuse_unsent(const std::string& reason)
+    void fail_unsent(const std::string& reason)
     {
-        const auto refused = std::exchange(unsent, {});
-        for (const auto& call : refused) {
+        const auto calls = std::exchange(unsent, {});
+        for (const auto& call : calls) {
             finish(*call, error{error_code::unavailable, run_state::not_run, reason});
         }
     }
 
-    void adopt(tcp::socket socket)
+    void start_session(tcp::socket socket)
     {
         std::weak_ptr<state> weak = shared_from_this();
-        auto slot = std::make_shared<std::weak_ptr<http2_session>>();
+        auto session_ref = std::make_shared<std::weak_ptr<http2_session>>();
         http2_session::events handlers;
         handlers.on_message = [weak](std::int32_t stream) {
             if (const auto alive = weak.lock()) {
-                alive->on_answer(stream);
+                alive->on_response(stream);
             }
         };
         handlers.on_stream_close = [weak](std::int32_t stream) {
             if (const auto alive = weak.lock()) {
-                alive->on_lost(stream);
+                alive->on_stream_closed(stream);
             }
         };
-        handlers.on_close = [weak, slot] {
+        handlers.on_close = [weak, session_ref] {
             if (const auto alive = weak.lock()) {
-                alive->on_close(slot->lock());
+                alive->on_close(session_ref->lock());
             }
         };
         session = std::make_shared<http2_session>(std::move(socket), http2_session::side::client,
                                                   std::move(handlers));
-        *slot = session;
+        *session_ref = session;
         session->start();
-        watch(session);
+        watch_session(session);
         const auto waiting = std::exchange(unsent, {});
         for (const auto& call : waiting) {
             if (!call->finished) {
@@ -195,7 +195,7 @@
         }
     }
 
-    void on_answer(std::int32_t stream)
+    void on_response(std::int32_t stream)
     {
         const auto found = sent.find(stream);
         auto* received = session ? session->find(stream) : nullptr;
@@ -207,7 +207,7 @@
         finish(*call, outcome_of(*received));
     }
 
-    void on_lost(std::int32_t stream)
+    void on_stream_closed(std::int32_t stream)
     {
         const auto found = sent.find(stream);
         if (found == sent.end()) {
@@ -234,28 +234,28 @@
     /// A connection can go silent for good while new ones work, and a call on it would wait out its deadline.
     /// PINGs make a living connection receive something, so silence means it is lost; the next call opens a
     /// new one.
-    void watch(const std::shared_ptr<http2_session>& which)
+    void watch_session(const std::shared_ptr<http2_session>& which)
     {
         auto self = shared_from_this();
         std::weak_ptr<http2_session> weak = which;
-        loop.after(timing.ping_every, [self, weak] {
+        loop.after(timing.ping_interval, [self, weak] {
             const auto alive = weak.lock();
             if (!alive || alive != self->session) {
                 return;
             }
-            if (steady::now() - alive->last_received() > self->timing.silent_after) {
+            if (steady::now() - alive->last_received() > self->timing.keepalive_timeout) {
                 alive->close();
                 return;
             }
             alive->ping();
-            self->watch(alive);
+            self->watch_session(alive);
         });
     }
 
     void close()
     {
         closed = true;
-        refuse_unsent("the channel is closed");
+        fail_unsent("the channel is closed");
         if (session) {
             session->close();
         }
@@ -288,7 +288,7 @@
     state_->loop.post([shared = state_, call] { shared->submit(call); });
     return [shared = state_, call] {
         shared->loop.post([shared, call] {
-            shared->give_up(call, {error_code::cancelled, run_state::in_doubt, "the call was cancelled"});
+            shared->abort(call, {error_code::cancelled, run_state::in_doubt, "the call was cancelled"});
         });
     };
 }
--- a/src/wire/peer_channel.hpp
+++ b/src/wire/peer_channel.hpp
@@ -12,9 +12,9 @@
 namespace vanillagauge::wire {
 
 struct peer_timing {
-    milliseconds connect{1000};
-    milliseconds ping_every{500};
-    milliseconds silent_after{1500}; ///< a connection with nothing received for this long is replaced
+    milliseconds connect_timeout{1000};
+    milliseconds ping_interval{500};
+    milliseconds keepalive_timeout{1500}; ///< a connection with nothing received for this long is replaced
 };
 
 class peer_channel final : public channel {
--- a/src/wire/peer_server.cpp
+++ b/src/wire/peer_server.cpp
@@ -45,36 +45,36 @@
     void accept()
     {
         auto self = shared_from_this();
-        acceptor.async_accept([self](const boost::system::error_code& refused, tcp::socket socket) {
-            if (refused) {
+        acceptor.async_accept([self](const boost::system::error_code& failed, tcp::socket socket) {
+            if (failed) {
                 return;
             }
-            self->adopt(std::move(socket));
+            self->start_session(std::move(socket));
             self->accept();
         });
     }
 
-    void adopt(tcp::socket socket)
+    void start_session(tcp::socket socket)
     {
-        auto slot = std::make_shared<std::weak_ptr<http2_session>>();
+        auto session_ref = std::make_shared<std::weak_ptr<http2_session>>();
         std::weak_ptr<state> weak = shared_from_this();
         http2_session::events handlers;
-        handlers.on_message = [weak, slot](std::int32_t stream) {
+        handlers.on_message = [weak, session_ref](std::int32_t stream) {
             const auto alive = weak.lock();
-            const auto session = slot->lock();
+            const auto session = session_ref->lock();
             if (alive && session) {
                 alive->serve(session, stream);
             }
         };
         handlers.on_stream_close = [](std::int32_t) {};
-        handlers.on_close = [weak, slot] {
+        handlers.on_close = [weak, session_ref] {
             if (const auto alive = weak.lock()) {
-                alive->sessions.erase(slot->lock());
+                alive->sessions.erase(session_ref->lock());
             }
         };
         auto session = std::make_shared<http2_session>(std::move(socket), http2_session::side::server,
                                                        std::move(handlers));
-        *slot = session;
+        *session_ref = session;
         sessions.insert(session);
         session->start();
     }
@@ -140,16 +140,16 @@
     }
     const auto& [host, port] = value(parsed);
     const tcp::endpoint local(boost::asio::ip::make_address(host), port);
-    boost::system::error_code refused;
-    state_->acceptor.open(local.protocol(), refused);
-    state_->acceptor.set_option(tcp::acceptor::reuse_address(true), refused);
-    state_->acceptor.bind(local, refused);
-    if (!refused) {
-        state_->acceptor.listen(boost::asio::socket_base::max_listen_connections, refused);
+    boost::system::error_code failed;
+    state_->acceptor.open(local.protocol(), failed);
+    state_->acceptor.set_option(tcp::acceptor::reuse_address(true), failed);
+    state_->acceptor.bind(local, failed);
+    if (!failed) {
+        state_->acceptor.listen(boost::asio::socket_base::max_listen_connections, failed);
     }
-    if (refused) {
+    if (failed) {
         return error{error_code::unavailable, run_state::not_run,
-                     "cannot listen on " + address + ": " + refused.message()};
+                     "cannot listen on " + address + ": " + failed.message()};
     }
     const auto bound = host + ":" + std::to_string(state_->acceptor.local_endpoint().port());
     state_->loop.post([shared = state_] { shared->accept(); });
