--- a/tests/net/loopback.hpp
+++ b/tests/net/loopback.hpp
@@ -35,17 +35,17 @@
     template <class Value>
     Value run(task<Value> work)
     {
-        std::promise<Value> told;
-        start(context_, finish(std::move(work), told));
-        return told.get_future().get();
+        std::promise<Value> promise;
+        start(context_, finish(std::move(work), promise));
+        return promise.get_future().get();
     }
 
 private:
     template <class Value>
-    static task<void> finish(task<Value> work, std::promise<Value>& told)
+    static task<void> finish(task<Value> work, std::promise<Value>& promise)
     {
         auto value = co_await std::move(work);
-        told.set_value(std::move(value));
+        promise.set_value(std::move(value));
     }
 
     boost::asio::io_context context_;
--- a/tests/wire/call_tests.cpp
+++ b/tests/wire/call_tests.cpp
@@ -15,7 +15,8 @@
               target::v1::CallReply* reply, google::protobuf::Closure* done) override
     {
         if (request->body() == "fail") {
-            controller_of(base).fail({error_code::overloaded, run_state::not_run, "asked to", milliseconds{250}});
+            controller_of(base).fail(
+                {error_code::overloaded, run_state::not_run, "asked to", milliseconds{250}});
         }
         reply->set_request_id(request->request_id());
         reply->set_body(request->body());
@@ -28,9 +29,9 @@
     void Generate(google::protobuf::RpcController* base, const target::v1::GenerateRequest* request,
                   target::v1::GenerateChunk* /*unused*/, google::protobuf::Closure* done) override
     {
-        for (int place = 0; place < request->max_tokens(); ++place) {
+        for (int index = 0; index < request->max_tokens(); ++index) {
             target::v1::GenerateChunk chunk;
-            chunk.set_sequence(place);
+            chunk.set_sequence(index);
             controller_of(base).write(chunk);
         }
         if (request->prompt() == "break") {
@@ -40,7 +41,7 @@
     }
 };
 
-struct served {
+struct test_server {
     event_loop loop;
     echo_service echo;
     counting_engine engine;
@@ -50,7 +51,7 @@
     std::string http_address;
     std::string peer_address;
 
-    served()
+    test_server()
     {
         calls.mount(echo, role::caller);
         calls.mount(engine, role::anyone);
@@ -78,7 +79,7 @@
 
 TEST(http_call, the_answer_belongs_to_the_request)
 {
-    served server;
+    test_server server;
     http_channel link(server.loop, server.http_address);
     const auto reply =
         call_and_wait<target::v1::CallReply>(link, call_path, request_with("hello"), with_token("secret"));
@@ -88,7 +89,7 @@
 
 TEST(http_call, a_wrong_token_is_refused_as_not_run)
 {
-    served server;
+    test_server server;
     http_channel link(server.loop, server.http_address);
     const auto reply =
         call_and_wait<target::v1::CallReply>(link, call_path, request_with("x"), with_token("wrong!"));
@@ -99,7 +100,7 @@
 
 TEST(http_call, a_typed_error_keeps_its_code_run_state_and_advice)
 {
-    served server;
+    test_server server;
     http_channel link(server.loop, server.http_address);
     const auto reply =
         call_and_wait<target::v1::CallReply>(link, call_path, request_with("fail"), with_token("secret"));
@@ -145,7 +146,7 @@
 
 TEST_P(streamed_answer, arrives_whole_and_in_order)
 {
-    served server;
+    test_server server;
     http_channel link(server.loop, server.http_address, GetParam());
     const auto seen = collect(link, "go", 50);
     ASSERT_TRUE(ok(seen.outcome)) << describe(failure(seen.outcome));
@@ -155,7 +156,7 @@
 
 TEST_P(streamed_answer, that_breaks_off_ends_with_the_typed_error)
 {
-    served server;
+    test_server server;
     http_channel link(server.loop, server.http_address, GetParam());
     const auto seen = collect(link, "break", 3);
     EXPECT_EQ(seen.sequences.size(), 3U);
@@ -168,25 +169,25 @@
 
 TEST(peer_call, many_calls_share_one_connection_and_keep_their_answers)
 {
-    served server;
+    test_server server;
     peer_channel link(server.loop, server.peer_address);
     constexpr int count = 200;
     std::vector<std::promise<std::string>> answers(count);
-    for (int place = 0; place < count; ++place) {
-        call<target::v1::CallReply>(link, call_path, request_with(std::to_string(place)),
+    for (int index = 0; index < count; ++index) {
+        call<target::v1::CallReply>(link, call_path, request_with(std::to_string(index)),
                                     with_token("secret"),
-                                    [&answers, place](result<target::v1::CallReply> reply) {
-                                        answers[place].set_value(ok(reply) ? value(reply).body() : "failed");
+                                    [&answers, index](result<target::v1::CallReply> reply) {
+                                        answers[index].set_value(ok(reply) ? value(reply).body() : "failed");
                                     });
     }
-    for (int place = 0; place < count; ++place) {
-        EXPECT_EQ(answers[place].get_future().get(), std::to_string(place));
+    for (int index = 0; index < count; ++index) {
+        EXPECT_EQ(answers[index].get_future().get(), std::to_string(index));
     }
 }
 
 TEST(peer_call, a_large_message_arrives_whole)
 {
-    served server;
+    test_server server;
     peer_channel link(server.loop, server.peer_address);
     const std::string large(9U << 20U, 'x');
     const auto reply =
@@ -206,7 +207,7 @@
 
 TEST(peer_call, a_typed_error_keeps_its_code)
 {
-    served server;
+    test_server server;
     peer_channel link(server.loop, server.peer_address);
     const auto reply =
         call_and_wait<target::v1::CallReply>(link, call_path, request_with("fail"), with_token("secret"));
@@ -271,7 +272,7 @@
 // of 70.
 TEST(http_call, an_ended_stream_is_let_go_before_its_progress_timer_fires)
 {
-    served server;
+    test_server server;
     http_channel link(server.loop, server.http_address);
     auto held = std::make_shared<int>(0);
     const std::weak_ptr<int> watched = held;
--- a/tests/wire/input_limits_tests.cpp
+++ b/tests/wire/input_limits_tests.cpp
@@ -36,7 +36,7 @@
 };
 
 /// Answers when the test says so.
-class held_service final : public target::v1::PlainService {
+class blocked_service final : public target::v1::PlainService {
 public:
     std::promise<void> entered;
     std::promise<void> release;
@@ -56,7 +56,7 @@
     std::future<void> finisher_;
 };
 
-class held_engine final : public target::v1::Engine {
+class blocked_engine final : public target::v1::Engine {
 public:
     std::promise<void> entered;
     std::promise<void> release;
@@ -149,7 +149,8 @@
     return "POST " + path + " HTTP/1.1\r\nHost: a\r\n" + more + "\r\n";
 }
 
-std::string whole(const std::string& body, const std::string& more = "", const std::string& path = call_path)
+std::string request_with_body(const std::string& body, const std::string& more = "",
+                              const std::string& path = call_path)
 {
     return head("Content-Type: application/json\r\nConnection: close\r\n" + more +
                     "Content-Length: " + std::to_string(body.size()) + "\r\n",
@@ -163,7 +164,7 @@
     {
         // Whatever a test sent, the server still answers others.
         raw_client other(address);
-        other.send(whole(R"({"request_id":"r9"})"));
+        other.send(request_with_body(R"({"request_id":"r9"})"));
         const auto reply = parse(other.read_to_end());
         EXPECT_EQ(reply.status, 200);
         EXPECT_NE(reply.body.find("r9"), std::string::npos);
@@ -181,7 +182,7 @@
         address = value(http.open("127.0.0.1:0"));
     }
 
-    answer ask(const std::string& bytes, bool half_closed = false) const
+    answer exchange(const std::string& bytes, bool half_closed = false) const
     {
         raw_client client(address);
         client.send(bytes);
@@ -206,73 +207,73 @@
 
 TEST_F(input_limits, a_body_whose_announced_length_is_over_the_limit_is_refused_unread)
 {
-    expect_error(ask(head(json_type + "Content-Length: 1000000000\r\n") + "{"), 413, "too_large");
+    expect_error(exchange(head(json_type + "Content-Length: 1000000000\r\n") + "{"), 413, "too_large");
 }
 
 TEST_F(input_limits, a_chunked_body_over_the_limit_is_refused)
 {
     std::string bytes = head(json_type + "Transfer-Encoding: chunked\r\n");
-    for (int place = 0; place < 64; ++place) {
+    for (int index = 0; index < 64; ++index) {
         bytes += "100\r\n" + std::string(256, 'a') + "\r\n";
     }
-    expect_error(ask(bytes), 413, "too_large");
+    expect_error(exchange(bytes), 413, "too_large");
 }
 
 TEST_F(input_limits, a_chunked_body_within_the_limit_is_served)
 {
     const std::string body = R"({"request_id":"r1"})";
-    const auto reply = ask(head(json_type + "Connection: close\r\nTransfer-Encoding: chunked\r\n") +
-                           "13\r\n" + body + "\r\n0\r\n\r\n");
+    const auto reply = exchange(head(json_type + "Connection: close\r\nTransfer-Encoding: chunked\r\n") +
+                                "13\r\n" + body + "\r\n0\r\n\r\n");
     EXPECT_EQ(reply.status, 200) << reply.body;
 }
 
 TEST_F(input_limits, a_body_without_a_length_is_an_empty_body)
 {
-    expect_error(ask(head(json_type + "Connection: close\r\n")), 400, "invalid_argument");
+    expect_error(exchange(head(json_type + "Connection: close\r\n")), 400, "invalid_argument");
 }
 
 TEST_F(input_limits, headers_over_the_limit_are_refused)
 {
-    expect_error(ask(head("X-Long: " + std::string(100000, 'a') + "\r\n")), 431, "too_large");
+    expect_error(exchange(head("X-Long: " + std::string(100000, 'a') + "\r\n")), 431, "too_large");
 }
 
 TEST_F(input_limits, a_sender_that_stops_within_its_headers_is_turned_away)
 {
-    expect_error(ask("POST " + call_path + " HTTP/1.1\r\nHost: a\r\n"), 408, "deadline_exceeded");
+    expect_error(exchange("POST " + call_path + " HTTP/1.1\r\nHost: a\r\n"), 408, "deadline_exceeded");
 }
 
 TEST_F(input_limits, a_sender_that_stops_within_its_body_is_turned_away)
 {
-    expect_error(ask(head(json_type + "Content-Length: 100\r\n") + "{\"requ"), 408, "deadline_exceeded");
+    expect_error(exchange(head(json_type + "Content-Length: 100\r\n") + "{\"requ"), 408, "deadline_exceeded");
 }
 
 TEST_F(input_limits, a_body_that_ends_early_is_incomplete)
 {
-    expect_error(ask(head(json_type + "Content-Length: 100\r\n") + "{\"requ", true), 400, "incomplete");
+    expect_error(exchange(head(json_type + "Content-Length: 100\r\n") + "{\"requ", true), 400, "incomplete");
 }
 
 TEST_F(input_limits, text_that_is_not_http_is_refused)
 {
-    expect_error(ask("hello there\r\n\r\n"), 400, "invalid_argument");
+    expect_error(exchange("hello there\r\n\r\n"), 400, "invalid_argument");
 }
 
 TEST_F(input_limits, malformed_json_is_refused)
 {
-    expect_error(ask(whole("{\"request_id\": ")), 400, "invalid_argument");
-    expect_error(ask(whole("")), 400, "invalid_argument");
-    expect_error(ask(whole("\xff\xfe{}")), 400, "invalid_argument");
+    expect_error(exchange(request_with_body("{\"request_id\": ")), 400, "invalid_argument");
+    expect_error(exchange(request_with_body("")), 400, "invalid_argument");
+    expect_error(exchange(request_with_body("\xff\xfe{}")), 400, "invalid_argument");
 }
 
 TEST_F(input_limits, a_field_of_the_wrong_type_is_named)
 {
-    const auto reply = ask(whole(R"({"request_id": {"a": 1}})"));
+    const auto reply = exchange(request_with_body(R"({"request_id": {"a": 1}})"));
     expect_error(reply, 400, "invalid_argument");
     EXPECT_NE(reply.body.find("request_id"), std::string::npos) << reply.body;
 }
 
 TEST_F(input_limits, an_unknown_field_is_named)
 {
-    const auto reply = ask(whole(R"({"reqest_id": "r1"})"));
+    const auto reply = exchange(request_with_body(R"({"reqest_id": "r1"})"));
     expect_error(reply, 400, "invalid_argument");
     EXPECT_NE(reply.body.find("reqest_id"), std::string::npos) << reply.body;
 }
@@ -280,58 +281,60 @@
 TEST_F(input_limits, json_nested_too_deeply_is_refused)
 {
     const auto nested = std::string(400, '[') + std::string(400, ']');
-    const auto reply = ask(whole("{\"request_id\": " + nested + "}"));
+    const auto reply = exchange(request_with_body("{\"request_id\": " + nested + "}"));
     expect_error(reply, 400, "invalid_argument");
     EXPECT_NE(reply.body.find("levels"), std::string::npos) << reply.body;
 }
 
 TEST_F(input_limits, brackets_within_a_string_are_no_levels)
 {
-    EXPECT_EQ(ask(whole("{\"request_id\": \"" + std::string(400, '[') + "\\\"\"}")).status, 200);
+    EXPECT_EQ(exchange(request_with_body("{\"request_id\": \"" + std::string(400, '[') + "\\\"\"}")).status,
+              200);
 }
 
 TEST_F(input_limits, an_unknown_method_is_refused)
 {
-    expect_error(ask(whole("{}", "", call_path + "x")), 404, "unimplemented");
+    expect_error(exchange(request_with_body("{}", "", call_path + "x")), 404, "unimplemented");
 }
 
 TEST_F(input_limits, another_content_type_is_refused)
 {
-    expect_error(ask(head("Content-Type: text/xml\r\nContent-Length: 2\r\n") + "{}"), 415,
+    expect_error(exchange(head("Content-Type: text/xml\r\nContent-Length: 2\r\n") + "{}"), 415,
                  "invalid_argument");
 }
 
 TEST_F(input_limits, another_verb_is_refused)
 {
-    const auto reply = ask("DELETE " + call_path + " HTTP/1.1\r\nHost: a\r\n\r\n");
+    const auto reply = exchange("DELETE " + call_path + " HTTP/1.1\r\nHost: a\r\n\r\n");
     expect_error(reply, 405, "invalid_argument");
     EXPECT_NE(reply.head.find("Allow: GET, POST"), std::string::npos) << reply.head;
 }
 
 TEST_F(input_limits, a_timeout_header_that_is_no_number_is_refused)
 {
-    expect_error(ask(whole("{}", "X-Timeout-Ms: soon\r\n")), 400, "invalid_argument");
-    expect_error(ask(whole("{}", "X-Timeout-Ms: -5\r\n")), 400, "invalid_argument");
-    expect_error(ask(whole("{}", "X-Timeout-Ms: 99999999999999999999\r\n")), 400, "invalid_argument");
+    expect_error(exchange(request_with_body("{}", "X-Timeout-Ms: soon\r\n")), 400, "invalid_argument");
+    expect_error(exchange(request_with_body("{}", "X-Timeout-Ms: -5\r\n")), 400, "invalid_argument");
+    expect_error(exchange(request_with_body("{}", "X-Timeout-Ms: 99999999999999999999\r\n")), 400,
+                 "invalid_argument");
 }
 
 TEST_F(input_limits, two_requests_in_one_write_are_answered_in_their_order)
 {
     const std::string first = R"({"request_id":"first"})";
-    const auto bytes =
-        head(json_type + "Content-Length: " + std::to_string(first.size()) + "\r\n") + first + whole("{}");
+    const auto bytes = head(json_type + "Content-Length: " + std::to_string(first.size()) + "\r\n") + first +
+                       request_with_body("{}");
     raw_client client(address);
     client.send(bytes);
     const auto replies = client.read_to_end();
-    const auto place = replies.find("first");
-    ASSERT_NE(place, std::string::npos) << replies;
-    EXPECT_NE(replies.find("HTTP/1.1 200", place), std::string::npos) << replies;
+    const auto position = replies.find("first");
+    ASSERT_NE(position, std::string::npos) << replies;
+    EXPECT_NE(replies.find("HTTP/1.1 200", position), std::string::npos) << replies;
 }
 
 TEST_F(input_limits, the_answer_echoes_the_callers_trace)
 {
-    const auto reply =
-        ask(whole("{}", "traceparent: 00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01\r\n"));
+    const auto reply = exchange(
+        request_with_body("{}", "traceparent: 00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01\r\n"));
     EXPECT_NE(reply.head.find("traceparent: 00-0af7651916cd43dd8448eb211c80319c-"), std::string::npos)
         << reply.head;
 }
@@ -356,22 +359,22 @@
 {
     boost::asio::io_context context;
     tcp::socket socket(context);
-    boost::system::error_code refused;
-    socket.connect(endpoint_of(address), refused);
-    return bool(refused);
+    boost::system::error_code failed;
+    socket.connect(endpoint_of(address), failed);
+    return bool(failed);
 }
 
 /// A stop is asked for while a call runs. The caller gets its whole answer, new connections are refused, and
 /// only then does the server close.
 TEST(graceful_shutdown, a_call_in_flight_is_answered_whole_while_new_connections_are_refused)
 {
-    held_service slow;
+    blocked_service slow;
     dispatcher calls{access_table{}};
     calls.mount(slow, role::anyone);
     http_server http(calls, short_limits());
     const auto address = value(http.open("127.0.0.1:0"));
     raw_client client(address);
-    client.send(whole(R"({"request_id":"r1"})"));
+    client.send(request_with_body(R"({"request_id":"r1"})"));
     slow.entered.get_future().wait();
     auto closed = std::async(std::launch::async, [&http] { http.close(); });
     while (!refuses_connections(address)) {
@@ -386,13 +389,13 @@
 
 TEST(graceful_shutdown, a_stream_in_flight_runs_to_its_last_chunk)
 {
-    held_engine engine;
+    blocked_engine engine;
     dispatcher calls{access_table{}};
     calls.mount(engine, role::anyone);
     http_server http(calls, short_limits());
     const auto address = value(http.open("127.0.0.1:0"));
     raw_client client(address);
-    client.send(whole("{}", "", stream_path));
+    client.send(request_with_body("{}", "", stream_path));
     engine.entered.get_future().wait();
     auto closed = std::async(std::launch::async, [&http] { http.close(); });
     while (!refuses_connections(address)) {
--- a/tests/wire/silent_http_tests.cpp
+++ b/tests/wire/silent_http_tests.cpp
@@ -22,18 +22,18 @@
 
 /// Answers the first request of each of its first connections once all of these have asked, and nothing more
 /// on them; connections opened later are answered for good.
-class forgetful_server {
+class stalling_server {
 public:
-    forgetful_server() : acceptor_(context_, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0))
+    stalling_server() : acceptor_(context_, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0))
     {
         thread_ = std::thread([this] { accept(); });
     }
 
-    ~forgetful_server()
+    ~stalling_server()
     {
         stopping_ = true;
-        tcp::socket knock(context_);
-        knock.connect(acceptor_.local_endpoint());
+        tcp::socket unblock(context_);
+        unblock.connect(acceptor_.local_endpoint());
         thread_.join();
         for (auto& socket : sockets_) {
             boost::system::error_code ignored;
@@ -43,8 +43,8 @@
             server.join();
         }
     }
-    forgetful_server(const forgetful_server&) = delete;
-    forgetful_server& operator=(const forgetful_server&) = delete;
+    stalling_server(const stalling_server&) = delete;
+    stalling_server& operator=(const stalling_server&) = delete;
 
     std::string address() const { return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()); }
 
@@ -69,28 +69,28 @@
         }
     }
 
-    void serve(tcp::socket& socket, bool forgets)
+    void serve(tcp::socket& socket, bool stalls)
     {
         asio::streambuf bytes;
-        boost::system::error_code broken;
-        for (int request = 0; !broken; ++request) {
+        boost::system::error_code failed;
+        for (int request = 0; !failed; ++request) {
             // The body is a flat JSON object, so that a request ends with its brace.
-            const auto size = asio::read_until(socket, bytes, '}', broken);
+            const auto size = asio::read_until(socket, bytes, '}', failed);
             bytes.consume(size);
-            if (broken || (forgets && request > 0)) {
+            if (failed || (stalls && request > 0)) {
                 continue;
             }
-            if (forgets) {
+            if (stalls) {
                 all_asked_.arrive_and_wait();
             }
             const std::string answer =
                 "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}";
-            asio::write(socket, asio::buffer(answer), broken);
+            asio::write(socket, asio::buffer(answer), failed);
         }
     }
 };
 
-std::future<bool> answered(channel& link, milliseconds timeout)
+std::future<bool> call_succeeds(channel& link, milliseconds timeout)
 {
     auto promise = std::make_shared<std::promise<bool>>();
     call_options options;
@@ -107,19 +107,19 @@
 // dropped with the first silence, so the second call is answered.
 TEST(http_channel, drops_its_pool_when_a_pooled_connection_is_silent)
 {
-    forgetful_server server;
+    stalling_server server;
     event_loop loop;
     http_channel link(loop, server.address());
     std::vector<std::future<bool>> first;
     first.reserve(pooled);
-    for (int place = 0; place < pooled; ++place) {
-        first.push_back(answered(link, seconds{30}));
+    for (int index = 0; index < pooled; ++index) {
+        first.push_back(call_succeeds(link, seconds{30}));
     }
     for (auto& one : first) {
         ASSERT_TRUE(one.get());
     }
-    EXPECT_FALSE(answered(link, milliseconds{300}).get());
-    EXPECT_TRUE(answered(link, seconds{30}).get());
+    EXPECT_FALSE(call_succeeds(link, milliseconds{300}).get());
+    EXPECT_TRUE(call_succeeds(link, seconds{30}).get());
 }
 
 } // namespace
--- a/tests/wire/silent_peer_tests.cpp
+++ b/tests/wire/silent_peer_tests.cpp
@@ -44,8 +44,8 @@
 
     void accept()
     {
-        acceptor_.async_accept([this](const boost::system::error_code& refused, tcp::socket socket) {
-            if (refused) {
+        acceptor_.async_accept([this](const boost::system::error_code& failed, tcp::socket socket) {
+            if (failed) {
                 return;
             }
             open_.push_back(std::move(socket));
