--- a/src/gateway/feed_sync.hpp
+++ b/src/gateway/feed_sync.hpp
@@ -58,9 +58,9 @@
     policy::quarantine& crashes_;
     std::map<std::string, crash_revisions> crash_revisions_; ///< by peer address
     std::vector<synced_feed> feeds_;
-    net::signal changed_;
-    net::signal watch_ended_; ///< a watch was answered or abandoned
-    std::string source_;      ///< of the last update: "store", a peer's address, or empty
+    net::async_condition changed_;
+    net::async_condition watch_ended_; ///< a watch was answered or abandoned
+    std::string source_;               ///< of the last update: "store", a peer's address, or empty
     std::size_t next_peer_ = 0;
     time_point last_failure_{};
     bool store_down_ = false;
--- a/tests/entry/plain_call_tests.cpp
+++ b/tests/entry/plain_call_tests.cpp
@@ -43,11 +43,12 @@
             return;
         }
         if (mode_ == behaviour::refuses) {
-            wire::from(control).fail(
+            wire::controller_of(control).fail(
                 {error_code::unavailable, run_state::not_run, "the target refuses all calls"});
         }
         if (mode_ == behaviour::fails) {
-            wire::from(control).fail({error_code::internal, run_state::in_doubt, "the reply was lost"});
+            wire::controller_of(control).fail(
+                {error_code::internal, run_state::in_doubt, "the reply was lost"});
         }
         reply->set_request_id(request->request_id());
         reply->set_body("body");
