--- a/src/net/async_condition.cpp
+++ b/src/net/async_condition.cpp
@@ -21,8 +21,8 @@
     }
 }
 
-// One timer serves all waiters of a turn, so it is set to the earliest of their times; the others find their
-// condition unmet and wait again.
+// All waiters share one timer, set to the earliest deadline; waiters with a later one resume spuriously and
+// wait again.
 task<void> async_condition::wait_until(time_point deadline)
 {
     if (!timer_) {
--- a/src/net/async_condition.hpp
+++ b/src/net/async_condition.hpp
@@ -1,4 +1,4 @@
-/// Wakes tasks of one loop that wait for something to change.
+/// A condition variable for the coroutines of one loop.
 #ifndef VANILLAGAUGE_NET_ASYNC_CONDITION_HPP
 #define VANILLAGAUGE_NET_ASYNC_CONDITION_HPP
 
@@ -10,13 +10,13 @@
 
 namespace vanillagauge::net {
 
-/// All waiters wake at each `notify`; a waiter checks its condition again. Belongs to the loop's thread.
+/// `notify` resumes all waiters, which must check their condition again. Use on the loop's thread only.
 class async_condition {
 public:
     explicit async_condition(loop& context);
 
     void notify();
-    /// Returns after the next `notify` or at `deadline`, whichever is first.
+    /// Returns at the next `notify` or at `deadline`, or earlier (spuriously).
     task<void> wait_until(time_point deadline);
 
 private:
--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -8,7 +8,8 @@
 
 constexpr std::size_t max_idle = 64;
 
-/// The peer's close and the next request must not cross: a request that meets a close may have run or not.
+/// The pool drops a connection this long before the peer does: a request that crosses the peer's close may or
+/// may not have run.
 constexpr milliseconds close_margin{400};
 
 } // namespace
--- a/src/net/connection_pool.hpp
+++ b/src/net/connection_pool.hpp
@@ -13,11 +13,11 @@
 public:
     connection_pool(loop& context, std::string address) : loop_(&context), address_(std::move(address)) {}
 
-    /// The connection used last that is still sound, or a new one.
+    /// The most recently used connection that is reusable, or a new one.
     task<http_result<std::shared_ptr<http_connection>>> acquire(time_point deadline);
-    /// A connection that nobody used before.
+    /// Always a new connection.
     task<http_result<std::shared_ptr<http_connection>>> acquire_new(time_point deadline);
-    /// Keeps it for at most `idle_time`; a connection that is not reusable ends here.
+    /// Pools the connection for at most `idle_time`; closes it if it is not reusable.
     void release(std::shared_ptr<http_connection> connection, duration idle_time);
     void clear() { idle_.clear(); }
 
@@ -35,8 +35,8 @@
     void drop_expired();
 };
 
-/// How long a peer keeps an idle connection open by its Keep-Alive field, less the time on the way;
-/// `fallback` where it names none.
+/// How long the peer keeps an idle connection open, from the timeout of its Keep-Alive field less a safety
+/// margin; `fallback` if it has none.
 duration idle_time_of(const http_fields& fields, duration fallback);
 
 } // namespace vanillagauge::net
--- a/src/net/event_stream.hpp
+++ b/src/net/event_stream.hpp
@@ -1,4 +1,4 @@
-/// Reads a stream of server-sent events as its bytes arrive.
+/// Incremental parser of server-sent events.
 #ifndef VANILLAGAUGE_NET_EVENT_STREAM_HPP
 #define VANILLAGAUGE_NET_EVENT_STREAM_HPP
 
@@ -14,15 +14,16 @@
 
 struct stream_event {
     std::optional<std::uint64_t> id;
-    std::string data;         ///< lines joined by line feeds
-    http_fields other_fields; ///< lines with other names
+    std::string data;         ///< data lines joined by line feeds
+    http_fields other_fields; ///< fields other than data and id
 };
 
 class event_reader {
 public:
-    /// The events that became whole with these bytes. Comments and events without data and id are dropped.
+    /// Returns the events completed by these bytes. Comments, and events with neither data nor id, are
+    /// dropped.
     std::vector<stream_event> feed(std::string_view bytes);
-    /// Whether bytes of an event that is not whole stand here.
+    /// Whether an incomplete event is buffered.
     bool has_partial_event() const { return !line_.empty() || has_lines_; }
 
 private:
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -80,10 +80,10 @@
 http_failure http_connection::to_failure(const error_code& code) const
 {
     if (closed_) {
-        return {failure_kind::cancelled, sent_, "closed by this side"};
+        return {failure_kind::cancelled, sent_, "connection closed locally"};
     }
     if (code == beast::error::timeout) {
-        return {failure_kind::timeout, sent_, "no progress in time"};
+        return {failure_kind::timeout, sent_, "deadline exceeded"};
     }
     if (code == asio::error::connection_refused) {
         return {failure_kind::refused, sent_, code.message()};
@@ -179,7 +179,7 @@
         auto& piece = std::get<body_piece>(read);
         body += piece.bytes;
         if (body.size() > max_bytes) {
-            co_return http_failure{failure_kind::malformed, true, "a body beyond the limit"};
+            co_return http_failure{failure_kind::malformed, true, "response body exceeds the size limit"};
         }
         if (piece.last) {
             co_return body;
@@ -193,8 +193,8 @@
     stream_.close();
 }
 
-// An answer that comes late, or twice, stands unread on the connection when the next request is to be sent.
-// Whoever read it then would take it for its own.
+// A late or duplicate response may be unread on the connection; the next request would take it for its own
+// response.
 bool http_connection::reusable()
 {
     if (closed_ || !stream_.socket().is_open() || buffer_.size() > 0) {
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,4 +1,4 @@
-/// One client connection, one request at a time.
+/// An HTTP/1.1 client connection that carries one request at a time.
 #ifndef VANILLAGAUGE_NET_HTTP_CLIENT_HPP
 #define VANILLAGAUGE_NET_HTTP_CLIENT_HPP
 
@@ -16,11 +16,11 @@
 namespace vanillagauge::net {
 
 enum class failure_kind {
-    refused,   ///< nobody listens: the request was not sent
-    timeout,   ///< no progress in time
-    closed,    ///< ended or reset by the peer
-    malformed, ///< bytes that are no answer in the protocol
-    cancelled, ///< closed by this side
+    refused,   ///< connection refused: the request was not sent
+    timeout,   ///< deadline exceeded
+    closed,    ///< closed or reset by the peer
+    malformed, ///< the bytes received are not a valid HTTP response
+    cancelled, ///< closed locally
 };
 
 const char* name(failure_kind kind);
@@ -34,10 +34,10 @@
 struct response_head {
     int status = 0;
     http_fields fields{};
-    bool keep_alive = false; ///< the connection may carry another request once the body has been read whole
+    bool keep_alive = false; ///< the connection may be reused once the body has been read completely
 };
 
-/// A piece of the body; empty text with `last` set at the end of a whole body.
+/// A part of the body; `last` marks the end of a complete body, where `bytes` may be empty.
 struct body_piece {
     std::string bytes;
     bool last = false;
@@ -48,7 +48,7 @@
 
 struct body_reader;
 
-/// Every wait ends by a deadline of its own: an open connection may go silent for good.
+/// Every operation has its own deadline, because a peer can stop responding without closing the connection.
 class http_connection {
 public:
     explicit http_connection(loop& context);
@@ -61,13 +61,13 @@
     task<http_result<done>> send(const http_request& request, time_point deadline);
     task<http_result<response_head>> read_head(time_point deadline);
     task<http_result<body_piece>> read_piece(time_point deadline);
-    /// The whole body, at most `max_bytes` bytes.
+    /// Reads the complete body; `malformed` if it exceeds `max_bytes`.
     task<http_result<std::string>> read_body(std::size_t max_bytes, time_point deadline);
-    /// Ends every wait with `cancelled`.
+    /// Pending operations fail with `cancelled`.
     void close();
 
-    /// Whether another request may be sent: open, and no byte stands unread, which would belong to no
-    /// request.
+    /// Whether another request may be sent: the connection is open and has no unread bytes, which would be
+    /// taken for the next response.
     bool reusable();
     bool reused() const { return requests_ > 1; }
 
@@ -82,7 +82,7 @@
     http_failure to_failure(const boost::system::error_code& code) const;
 };
 
-/// A whole exchange on a connection that is open.
+/// Sends a request and reads its complete response on an open connection.
 task<http_result<http_response>> exchange(http_connection& connection, const http_request& request,
                                           std::size_t max_body, time_point deadline);
 
--- a/src/net/http_message.hpp
+++ b/src/net/http_message.hpp
@@ -1,4 +1,4 @@
-/// HTTP messages as plain values.
+/// HTTP message types and helpers for fields and request targets.
 #ifndef VANILLAGAUGE_NET_HTTP_MESSAGE_HPP
 #define VANILLAGAUGE_NET_HTTP_MESSAGE_HPP
 
@@ -13,15 +13,15 @@
     std::string value;
 };
 
-/// In the order of the message; names compare without case.
+/// Fields in message order; names are compared case-insensitively.
 class http_fields {
 public:
     void add(std::string_view name, std::string_view value);
-    /// Replaces every field of this name.
+    /// Replaces all fields of this name.
     void set(std::string_view name, std::string_view value);
     void erase(std::string_view name);
 
-    /// The first value; empty where the field is absent.
+    /// The first value; empty if the field is absent.
     std::string_view find(std::string_view name) const;
     bool contains(std::string_view name) const;
     const std::vector<http_field>& all() const { return fields_; }
@@ -32,7 +32,7 @@
 
 bool names_equal(std::string_view left, std::string_view right);
 
-/// Whether the field concerns one connection only, by its name or because `Connection` lists it.
+/// Whether the field applies to a single connection, by its name or because `Connection` lists it.
 bool is_hop_by_hop(std::string_view name, std::string_view connection_value);
 
 struct http_request {
@@ -48,9 +48,9 @@
     std::string body{};
 };
 
-/// The path of a request's target, without its query.
+/// The path of a request target, without its query.
 std::string_view path_of(std::string_view target);
-/// The value of a query parameter, with percent escapes decoded; empty where it is absent.
+/// The percent-decoded value of a query parameter; empty if it is absent.
 std::string query_value(std::string_view target, std::string_view name);
 
 } // namespace vanillagauge::net
--- a/src/net/http_service.cpp
+++ b/src/net/http_service.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// A request may be on its way over a connection that stands without one; closing at once would cut it.
+/// A request may be in transit on an idle connection; closing it at once would lose the request.
 constexpr milliseconds close_grace{250};
 
 } // namespace
@@ -79,7 +79,7 @@
 {
 }
 
-// The acceptor belongs to the loop's thread; the service may end on another.
+// The acceptor is used on the loop's thread only; the destructor may run on another.
 http_service::~http_service()
 {
     asio::post(state_->context, [held = state_] {
@@ -113,7 +113,7 @@
     }
     if (failed) {
         return error{vanillagauge::error_code::unavailable, run_state::not_run,
-                     "expected a free address IP:PORT, found: " + address + ", " + failed.message()};
+                     "cannot listen on " + address + ": " + failed.message()};
     }
     start(state_->context, state::accept_loop(state_));
     return host.to_string() + ":" + std::to_string(acceptor.local_endpoint().port());
@@ -166,13 +166,13 @@
             owner->start_connection(std::move(socket));
         }
         else if (owner->acceptor.is_open()) {
-            // Out of descriptors, usually; without the pause the loop would spin until one is free.
+            // Usually out of file descriptors; the delay keeps the loop from spinning until one is free.
             co_await sleep_for(owner->context, milliseconds(50));
         }
     }
 }
 
-// Closing the listener would reset connections that the kernel has taken, with requests on them.
+// Closing the acceptor resets the connections in its backlog, so they are accepted first.
 void http_service::state::close_acceptor()
 {
     error_code failure;
--- a/src/net/http_service.hpp
+++ b/src/net/http_service.hpp
@@ -1,4 +1,4 @@
-/// Serves HTTP/1.1: whole requests in, whole answers or streams out, and word of clients that leave.
+/// HTTP/1.1 server: complete requests, complete or streamed responses, and detection of client disconnects.
 #ifndef VANILLAGAUGE_NET_HTTP_SERVICE_HPP
 #define VANILLAGAUGE_NET_HTTP_SERVICE_HPP
 
@@ -12,33 +12,35 @@
 
 namespace vanillagauge::net {
 
-/// What one connection may cost.
+/// Limits of one connection.
 struct service_limits {
     std::size_t header_bytes = 16U << 10U;
     std::size_t body_bytes = 32U << 20U;
     milliseconds header_time{10000}; ///< from the first byte of a request to the end of its headers
-    milliseconds body_time{30000};   ///< for a body
+    milliseconds body_time{30000};   ///< to read a request body
     milliseconds idle_time{60000};   ///< between two requests
-    milliseconds write_time{10000};  ///< longest time a client may take over a piece of its answer
+    milliseconds write_time{10000};  ///< to write one part of a response
 };
 
 class service_connection;
 
-/// The answer to one request. Each call tells whether the bytes were handed over; false: the client is gone.
+/// The response to one request. Calls return false if the bytes were not written: the client has
+/// disconnected.
 class responder {
 public:
     explicit responder(service_connection& connection) : connection_(connection) {}
 
     task<bool> send(http_response response);
-    /// Begins an answer whose body follows in pieces.
+    /// Starts a response with a chunked body.
     task<bool> begin(int status, http_fields fields);
     task<bool> write(std::string piece);
     task<bool> finish();
-    /// Ends the connection, so that an answer that has begun does not look whole.
+    /// Resets the connection, so that the client cannot take a partial response for a complete one.
     void abort();
 
     bool client_disconnected() const;
-    /// Called once, when the client closes before it has its answer. It ends with the request.
+    /// Called at most once, when the client disconnects before the response is complete; dropped after the
+    /// request.
     void on_client_disconnect(std::function<void()> callback);
     bool answered() const { return answered_; }
 
@@ -50,27 +52,27 @@
 
 using http_handler = std::function<task<void>(const http_request&, responder&)>;
 
-/// Of one loop; the handler runs as a task a request.
+/// Runs on one loop; the handler runs as one task per request.
 class http_service {
 public:
-    /// `limits` is asked for each request, so that it may change.
+    /// `limits` is called for each request, so that the limits may change.
     http_service(loop& context, std::function<service_limits()> limits, http_handler handler);
     ~http_service();
     http_service(const http_service&) = delete;
     http_service& operator=(const http_service&) = delete;
 
-    /// Opens IP:PORT; port 0 picks a free one. Returns the bound address.
+    /// Listens on IP:PORT; port 0 picks a free port. Returns the bound address, or `unavailable`.
     result<std::string> open(const std::string& address);
-    /// From now on each answer is the last of its connection.
+    /// From now on each connection closes after its current response.
     void drain();
-    /// Drains, takes the connections that wait and then no more, and ends each that stays without a request.
+    /// Drains, accepts the pending connections, stops listening, and closes idle connections.
     void close();
-    /// From now on answers in place of the handlers, also what is under way; an answer that has begun goes
-    /// on.
+    /// Sends `answer` to every request whose response has not started, and to all later ones; started
+    /// responses continue.
     void abort_requests(const http_response& answer);
 
     std::size_t connections() const;
-    /// Requests that were read and have no whole answer yet.
+    /// Requests read whose response is not complete.
     std::size_t in_flight() const;
 
 private:
--- a/src/net/internal/keep_alive.cpp
+++ b/src/net/internal/keep_alive.cpp
@@ -7,9 +7,9 @@
 namespace vanillagauge::net::internal {
 namespace {
 
-// Something between the two ends may lose track of a connection: both hold it open and no packet passes. A
-// watch that waits for 20 s on it would miss every change meanwhile. One second of idleness and two probes a
-// second apart find it in about three seconds, the time that the fleet's own view of a lost VM takes.
+// A middlebox may drop a connection's state: both ends keep it open, but no packet passes, and a 20 s watch
+// on it would miss every change. Two probes a second apart after one idle second detect this in about three
+// seconds, as fast as the fleet detects a lost VM.
 constexpr int idle_seconds = 1;
 constexpr int interval_seconds = 1;
 constexpr int max_probes = 2;
@@ -21,7 +21,7 @@
 {
     const int on = 1;
     const auto handle = socket.native_handle();
-    // A socket that refuses an option works on, only slower or with a longer silence.
+    // Errors are ignored: without an option the socket works, with more latency or slower detection.
     ::setsockopt(handle, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
     ::setsockopt(handle, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
     ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPIDLE, &idle_seconds, sizeof idle_seconds);
--- a/src/net/internal/keep_alive.hpp
+++ b/src/net/internal/keep_alive.hpp
@@ -1,4 +1,4 @@
-/// Finds connections that have gone silent for good.
+/// Detection of unresponsive peers with TCP keep-alive.
 #ifndef VANILLAGAUGE_NET_INTERNAL_KEEP_ALIVE_HPP
 #define VANILLAGAUGE_NET_INTERNAL_KEEP_ALIVE_HPP
 
@@ -6,8 +6,8 @@
 
 namespace vanillagauge::net::internal {
 
-/// Prepares a connected socket: small writes go at once, and a peer that does not answer probes for some
-/// three seconds ends the connection with an error, also while nothing is sent.
+/// Sets TCP_NODELAY, and keep-alive options that fail the connection after about three seconds without an
+/// answer from the peer, also while nothing is sent.
 void configure_socket(boost::asio::ip::tcp::socket& socket);
 
 } // namespace vanillagauge::net::internal
--- a/src/net/internal/service_connection.cpp
+++ b/src/net/internal/service_connection.cpp
@@ -22,8 +22,8 @@
 
 namespace {
 
-/// After a final answer the client may still send; closing at once would reset the connection and destroy the
-/// answer on its way. A client that has read its answer closes well within this time.
+/// How long to read on after the last response: closing a socket with unread bytes resets the connection,
+/// which can destroy the response before the client has read it.
 constexpr milliseconds linger_time{1000};
 
 std::string status_line(int status)
@@ -181,8 +181,8 @@
     --owner_->in_flight;
 }
 
-// Without this a client that leaves is noticed only when its answer is written, and the target works for
-// nobody. A byte that arrives instead is the client's next request; then the watch ends.
+// Detects a disconnect while the handler runs, so that the target does not work on for nobody. Bytes that
+// arrive belong to the next request and end the watch.
 void service_connection::watch_client()
 {
     stream_.socket().async_wait(
@@ -238,7 +238,7 @@
 
 std::string service_connection::connection_fields()
 {
-    // A further request that has been read already is answered too.
+    // A pipelined request that is already buffered is served too.
     if (owner_->draining && buffer_.size() == 0) {
         keep_alive_ = false;
     }
@@ -291,8 +291,8 @@
     stream_.socket().cancel(ignored);
 }
 
-// The handler learns of it as of a client that left, so that it lets go of its replica. An answer that has
-// begun goes on; where it is not whole when the process ends, it does not look whole.
+// The handler is notified as of a disconnect, so that it releases its replica. A started response continues;
+// if the process exits first, the client can tell that the response is incomplete.
 void service_connection::abort_request(const http_response& answer)
 {
     close_if_idle();
@@ -311,8 +311,8 @@
     notify_disconnect();
 }
 
-// What comes now is left unread: the end of the connection then tells the client that its request has not
-// run, while a request that was read and thrown away could have.
+// Leaves further bytes unread: the end of the connection then tells the client that its request has not run,
+// while a request that was read and dropped might have.
 task<void> service_connection::close_unread()
 {
     error_code failure;
--- a/src/net/internal/service_connection.hpp
+++ b/src/net/internal/service_connection.hpp
@@ -1,4 +1,4 @@
-/// One accepted connection of an HTTP service: a request at a time, and its end.
+/// One accepted connection of an HTTP service; handles one request at a time.
 #ifndef VANILLAGAUGE_NET_INTERNAL_SERVICE_CONNECTION_HPP
 #define VANILLAGAUGE_NET_INTERNAL_SERVICE_CONNECTION_HPP
 
@@ -29,7 +29,7 @@
     bool draining = false;
     std::set<service_connection*> connections;
     std::size_t in_flight = 0;
-    std::optional<http_response> failure_response; ///< answers what is read once the handlers are given up
+    std::optional<http_response> failure_response; ///< sent to each further request after abort_requests
 
     void start_connection(boost::asio::ip::tcp::socket socket);
     static task<void> accept_loop(std::shared_ptr<state> owner);
@@ -48,20 +48,20 @@
     service_connection(const service_connection&) = delete;
     service_connection& operator=(const service_connection&) = delete;
 
-    /// The task holds the connection: it may start after its maker has let go.
+    /// The task shares ownership: it may start after the caller has released the connection.
     static task<void> serve(std::shared_ptr<service_connection> connection);
     task<bool> write_text(std::string text);
     void abort();
-    /// Ends it where no byte of a request has come.
+    /// Closes the connection if no byte of a request has been received.
     void close_if_idle();
-    /// Answers in place of the handler.
+    /// Sends `answer` in place of the response of a running handler.
     void abort_request(const http_response& answer);
-    /// False: the service has answered in the handler's place.
+    /// False if the request was aborted and its response already sent.
     bool begin_response();
-    /// The head of an answer whose body follows in pieces.
+    /// The head of a response with a chunked body.
     std::string chunked_head(int status, const http_fields& fields);
     std::string serialize(const http_response& response);
-    /// The fields that end a head, for this answer.
+    /// The Connection field, if needed, and the empty line that ends the head.
     std::string connection_fields();
 
     bool client_disconnected() const { return client_disconnected_; }
@@ -69,21 +69,20 @@
 
 private:
     enum class stage {
-        idle, ///< no byte of a request has come
+        idle, ///< no byte of a request received
         reading,
         handling,
-        responding, ///< the handler's answer has begun
-        aborted,    ///< the service has answered in the handler's place
+        responding, ///< the response has started
+        aborted,    ///< abort_request sent the response
     };
 
     boost::beast::tcp_stream stream_;
     std::shared_ptr<http_service::state> owner_;
     boost::beast::flat_buffer buffer_;
     std::function<void()> on_disconnect_;
-    std::uint64_t watched_request_ =
-        0; ///< the request whose client is watched; each request has a new number
+    std::uint64_t watched_request_ = 0; ///< number of the request watched for a disconnect
     stage stage_ = stage::reading;
-    bool closed_idle_ = false; ///< by this side, without a request
+    bool closed_idle_ = false; ///< closed locally without a request
     bool keep_alive_ = true;
     bool aborted_ = false;
     bool client_disconnected_ = false;
--- a/src/net/net.hpp
+++ b/src/net/net.hpp
@@ -1,4 +1,4 @@
-/// HTTP/1.1 connections whose every state is visible: what was sent, whose answer came, whether it is whole.
+/// HTTP/1.1 client and server on coroutines.
 #ifndef VANILLAGAUGE_NET_NET_HPP
 #define VANILLAGAUGE_NET_NET_HPP
 
--- a/src/net/task.hpp
+++ b/src/net/task.hpp
@@ -1,4 +1,4 @@
-/// Coroutines of the event loop.
+/// Coroutine types and helpers of the event loop.
 #ifndef VANILLAGAUGE_NET_TASK_HPP
 #define VANILLAGAUGE_NET_TASK_HPP
 
@@ -20,10 +20,10 @@
 
 using loop = boost::asio::io_context;
 
-/// Starts the task on the loop; an exception that leaves it ends the program.
+/// Starts the task on the loop; an exception that escapes it terminates the program.
 void start(loop& context, task<void> work);
 
-/// Waits on the steady clock.
+/// Suspends the task for `pause` on the steady clock.
 task<void> sleep_for(loop& context, duration pause);
 
 } // namespace vanillagauge::net
