--- a/src/wire/access.hpp
+++ b/src/wire/access.hpp
@@ -1,4 +1,4 @@
-/// Who may call which service: a bearer token for each role.
+/// Authorization of callers by one bearer token per role.
 #ifndef VANILLAGAUGE_WIRE_ACCESS_HPP
 #define VANILLAGAUGE_WIRE_ACCESS_HPP
 
@@ -11,14 +11,14 @@
 
 enum class role { anyone, caller, trainer, operators, peer };
 
-/// Tokens by role. A role without a token is closed to everyone.
+/// Bearer tokens by role. A role without a token authorizes nobody.
 struct access_table {
     std::map<role, std::string> tokens;
 };
 
 std::string_view name(role role_value);
 
-/// True where the Authorization header carries the role's token; the comparison takes constant time.
+/// Whether the Authorization header carries the role's token, compared in constant time.
 bool is_authorized(const access_table& table, role required, std::string_view authorization);
 
 } // namespace vanillagauge::wire
--- a/src/wire/call.hpp
+++ b/src/wire/call.hpp
@@ -1,4 +1,4 @@
-/// Typed calls over a channel.
+/// Typed remote procedure calls over a channel.
 #ifndef VANILLAGAUGE_WIRE_CALL_HPP
 #define VANILLAGAUGE_WIRE_CALL_HPP
 
@@ -13,7 +13,7 @@
 
 namespace vanillagauge::wire {
 
-/// The path of a generated service's method.
+/// The path of a method of a generated service: /package.Service/Method.
 template <class Service>
 std::string method(const char* method_name)
 {
@@ -41,7 +41,7 @@
     return link.start(path, encode(encoding, request), options, {}, std::move(finish));
 }
 
-/// A streamed answer: `on_message` for each message in order, then `on_done`.
+/// Server-streaming call: runs `on_message` for each message in order, then `on_done`.
 template <class Response>
 call_cancel stream(channel& link, const std::string& path, const google::protobuf::Message& request,
                    const call_options& options, std::function<void(Response)> on_message,
@@ -62,7 +62,7 @@
             on_done(failure(outcome));
         }
         else if (*malformed) {
-            on_done(error{error_code::incomplete, run_state::ran, "a message of the stream cannot be read"});
+            on_done(error{error_code::incomplete, run_state::ran, "cannot decode a message of the stream"});
         }
         else {
             on_done(done{});
@@ -71,7 +71,7 @@
     return link.start(path, encode(encoding, request), options, std::move(chunk), std::move(finish));
 }
 
-/// Waits for the answer. For command-line tools and tests only: it blocks the thread.
+/// Blocks the thread until the call completes. For command-line tools and tests only.
 template <class Response>
 result<Response> call_and_wait(channel& link, const std::string& path,
                                const google::protobuf::Message& request, const call_options& options)
--- a/src/wire/channel.hpp
+++ b/src/wire/channel.hpp
@@ -1,4 +1,4 @@
-/// The client's side of a call, whatever the transport.
+/// Client side of a call, independent of the transport.
 #ifndef VANILLAGAUGE_WIRE_CHANNEL_HPP
 #define VANILLAGAUGE_WIRE_CHANNEL_HPP
 
@@ -13,17 +13,17 @@
 
 struct call_options {
     milliseconds timeout{5000};       ///< for the whole call
-    milliseconds progress_timeout{0}; ///< longest silence within a streamed answer; 0: `timeout`
+    milliseconds progress_timeout{0}; ///< between two reads of a streamed response; 0: `timeout`
     observe::trace_context trace;     ///< empty: no traceparent is sent
     std::string token;                ///< bearer token; empty: none
-    bool fresh_connection = false;    ///< never a pooled connection
+    bool fresh_connection = false;    ///< do not use a pooled connection
 };
 
-/// Ends the call early; its completion runs with `cancelled`. Safe after the call has ended.
+/// Cancels the call; its completion runs with `cancelled`. No effect after the call has completed.
 using call_cancel = std::function<void()>;
 
-/// Encoded messages in, encoded messages out; call.hpp has the typed form.
-/// A failure is `not_run` only where the request was provably never sent.
+/// Sends and receives encoded messages; call.hpp has the typed calls.
+/// A failure is `not_run` only if the request was certainly not sent or the server reports so.
 class channel {
 public:
     using on_chunk = std::function<void(std::string_view)>;
@@ -35,7 +35,7 @@
     channel& operator=(const channel&) = delete;
 
     virtual codec encoding() const = 0;
-    /// `chunk` is empty for a call with one answer. `done` runs exactly once, on any thread.
+    /// `chunk` is empty for a unary call. `done` runs exactly once, on any thread.
     virtual call_cancel start(const std::string& path, std::string body, const call_options& options,
                               on_chunk chunk, on_done done) = 0;
 };
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -38,8 +38,8 @@
     return size;
 }
 
-/// True where objects and arrays nest more deeply than the limit. The parser recurses with each level, so the
-/// check comes first: its stack must not be the sender's to spend.
+/// Whether objects and arrays nest deeper than the limit. The JSON parser recurses for each level, so this
+/// check before it keeps a sender from exhausting the stack.
 bool too_deep(std::string_view text)
 {
     int level = 0;
@@ -66,8 +66,8 @@
     return false;
 }
 
-/// Details quote what a client sent, and protobuf writes a line of its own to standard error for each string
-/// that is not UTF-8; anyone could fill the log with them.
+/// Error details quote client input, and protobuf prints a line to standard error for each string that is not
+/// valid UTF-8, so a client could flood the log.
 std::string valid_utf8(const std::string& text)
 {
     return nlohmann::json::parse(observe::json_text(text)).get<std::string>();
@@ -83,7 +83,7 @@
     v1::Error message;
     const auto outcome = decode(encoding, body, message);
     if (!ok(outcome)) {
-        return stream_error("the error that ended the stream cannot be read");
+        return stream_error("cannot decode the error that ended the stream");
     }
     return from_message(message);
 }
@@ -130,7 +130,7 @@
     if (encoding == codec::protobuf) {
         if (!message.ParseFromArray(body.data(), static_cast<int>(body.size()))) {
             return error{error_code::invalid_argument, run_state::not_run,
-                         "expected a protobuf " + message.GetTypeName() + ", found bytes that are none"};
+                         "expected a protobuf " + message.GetTypeName() + ", found malformed bytes"};
         }
         return done{};
     }
@@ -223,7 +223,7 @@
     }
     pending_.erase(0, start);
     if (pending_.size() > max_frame_bytes) {
-        return stream_error("expected a line within the size limit, found a longer one");
+        return stream_error("a line of the stream exceeds the size limit");
     }
     return done{};
 }
@@ -235,7 +235,7 @@
         const std::string_view head(pending_.data() + start, frame_header_bytes);
         const std::size_t size = frame_size(head);
         if (size > max_frame_bytes) {
-            return stream_error("expected a frame within the size limit, found a longer one");
+            return stream_error("a frame of the stream exceeds the size limit");
         }
         if (pending_.size() - start < frame_header_bytes + size) {
             break;
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -1,4 +1,4 @@
-/// Encodings of the schema's messages: JSON and protobuf, alone or framed in a stream.
+/// JSON and protobuf encodings of the schema's messages, single or framed in a stream.
 #ifndef VANILLAGAUGE_WIRE_CODEC_HPP
 #define VANILLAGAUGE_WIRE_CODEC_HPP
 
@@ -21,28 +21,28 @@
 enum class codec { json, protobuf };
 
 std::string_view content_type(codec encoding, bool streamed);
-/// JSON for an empty type; unknown types are refused.
+/// JSON for an empty type; `invalid_argument` for unknown types.
 result<codec> parse_content_type(std::string_view type);
 
 std::string encode(codec encoding, const google::protobuf::Message& message);
-/// `invalid_argument` with the parser's reason; unknown JSON fields are refused.
+/// `invalid_argument` for malformed input, including unknown JSON fields.
 result<done> decode(codec encoding, std::string_view body, google::protobuf::Message& message);
 
 v1::Error to_message(const error& failure);
 error from_message(const v1::Error& message);
 
-/// Frames of a stream: a JSON line each, or a flag byte, four length bytes and a protobuf message.
+/// Frames a message of a stream: a line of JSON, or a flag byte, a 4-byte big-endian length and protobuf.
 std::string frame(codec encoding, std::string_view encoded);
 std::string error_frame(codec encoding, const error& failure);
 
-/// Takes a stream's bytes as they come and hands out whole frames.
+/// Incremental parser of a framed stream.
 class frame_reader {
 public:
     explicit frame_reader(codec encoding) : encoding_(encoding) {}
 
-    /// Calls `on_frame` for each whole frame. The error that ended the stream is returned where there is one.
+    /// Calls `on_frame` for each complete frame. Returns the error frame that ended the stream, if any.
     result<done> feed(std::string_view bytes, const std::function<void(std::string_view)>& on_frame);
-    /// True where no frame is half read.
+    /// Whether no partial frame is buffered.
     bool at_boundary() const { return pending_.empty(); }
 
 private:
--- a/src/wire/controller.hpp
+++ b/src/wire/controller.hpp
@@ -1,4 +1,4 @@
-/// What a service's handler knows of the call it serves, and how it fails or streams.
+/// The RpcController of a service's handler: call metadata, failure and streamed responses.
 #ifndef VANILLAGAUGE_WIRE_CONTROLLER_HPP
 #define VANILLAGAUGE_WIRE_CONTROLLER_HPP
 
@@ -13,13 +13,13 @@
 
 namespace vanillagauge::wire {
 
-/// The transport's part of one incoming call.
+/// Metadata of one incoming call, set by the transport.
 struct incoming_call {
     std::string path; ///< /package.Service/Method
     std::string authorization;
     observe::trace_context trace;
-    bool traced = false;     ///< a span is written for this call
-    milliseconds timeout{0}; ///< 0: the caller named none
+    bool traced = false;     ///< whether to write a span for this call
+    milliseconds timeout{0}; ///< 0: none requested
 };
 
 class controller final : public google::protobuf::RpcController {
@@ -35,18 +35,18 @@
     const incoming_call& call() const { return call_; }
     const std::optional<error>& failure() const { return failure_; }
 
-    /// The call ends with this error once the handler runs its closure.
+    /// The call fails with this error when the handler runs its closure.
     void fail(error failure) { failure_ = std::move(failure); }
-    /// Sends one message of a streamed answer. Safe from any thread, one at a time.
+    /// Sends one message of a streamed response. Callable from any thread, but not concurrently.
     void write(const google::protobuf::Message& message) { write_(message); }
 
-    // The interface that protobuf's generated services ask for.
+    // google::protobuf::RpcController
     void Reset() override { failure_.reset(); }
     bool Failed() const override { return failure_.has_value(); }
     std::string ErrorText() const override { return failure_ ? failure_->detail : std::string(); }
     void StartCancel() override {}
     void SetFailed(const std::string& reason) override;
-    /// The client of a streamed answer has gone: what is still written reaches nobody.
+    /// Whether the client of a streamed response has disconnected; further messages are dropped.
     bool IsCanceled() const override { return client_disconnected_ && client_disconnected_(); }
     void NotifyOnCancel(google::protobuf::Closure* callback) override;
 
@@ -57,7 +57,7 @@
     std::optional<error> failure_;
 };
 
-/// The project's controller behind the interface; every call of the dispatcher carries one.
+/// Downcasts the RpcController of a call; valid for every call made by the dispatcher.
 controller& controller_of(google::protobuf::RpcController* base);
 
 } // namespace vanillagauge::wire
--- a/src/wire/dispatcher.cpp
+++ b/src/wire/dispatcher.cpp
@@ -9,7 +9,7 @@
 namespace vanillagauge::wire {
 namespace {
 
-/// One call from its decoding to its answer; the closure owns it.
+/// State of a call until its response; owned by the closure.
 struct running_call {
     std::unique_ptr<google::protobuf::Message> request;
     std::unique_ptr<google::protobuf::Message> response;
--- a/src/wire/dispatcher.hpp
+++ b/src/wire/dispatcher.hpp
@@ -1,4 +1,4 @@
-/// Maps a call's path to a method of a mounted service, whatever the transport.
+/// Routes calls by path to the methods of mounted services, independent of the transport.
 #ifndef VANILLAGAUGE_WIRE_DISPATCHER_HPP
 #define VANILLAGAUGE_WIRE_DISPATCHER_HPP
 
@@ -12,24 +12,25 @@
 
 namespace vanillagauge::wire {
 
-/// Where a call's answer goes. Exactly one `finish`, after all chunks.
+/// Receives the response of a call: any chunks, then exactly one `finish`.
 struct reply_sink {
-    std::function<void(std::string)> chunk;          ///< one encoded message of a streamed answer
-    std::function<void(result<std::string>)> finish; ///< the encoded answer; empty for a streamed one
-    std::function<bool()> client_disconnected{};     ///< the client is known to have gone; empty: not known
+    std::function<void(std::string)> chunk;          ///< one encoded message of a streamed response
+    std::function<void(result<std::string>)> finish; ///< the encoded response; empty if streamed
+    std::function<bool()> client_disconnected{};     ///< whether the client disconnected; empty: unknown
 };
 
 class dispatcher {
 public:
     explicit dispatcher(access_table access) : access_(std::move(access)) {}
 
-    /// Opens every method of the service to one role. The service must outlive the dispatcher.
+    /// Makes every method of the service callable by one role. The service must outlive the dispatcher.
     void mount(google::protobuf::Service& service, role required);
 
-    /// True where the path names a mounted method whose answer is streamed.
+    /// Whether the path names a mounted server-streaming method.
     bool is_streaming(const std::string& path) const;
 
-    /// Checks, decodes and runs one call. The sink may be called from any thread, also before this returns.
+    /// Authorizes, decodes and runs one call. The sink may be called from any thread, also before this
+    /// returns.
     void dispatch(incoming_call call, codec encoding, const std::string& body, reply_sink sink) const;
 
 private:
--- a/src/wire/event_loop.cpp
+++ b/src/wire/event_loop.cpp
@@ -31,7 +31,7 @@
 void event_loop::run_and_wait(const std::function<void()>& work)
 {
     if (state_->context.stopped()) {
-        stop(); // its thread may still be in its last handler
+        stop(); // the last handler may still be running
     }
     if (state_->context.stopped() || state_->thread.get_id() == std::this_thread::get_id()) {
         work();
@@ -55,7 +55,7 @@
         }
     });
     std::weak_ptr<boost::asio::steady_timer> weak = timer;
-    // A timer is no object for two threads, so its cancellation is posted to the thread that runs it.
+    // Asio timers are not thread-safe, so the cancellation is posted to the thread of the loop.
     return [weak, this] {
         boost::asio::post(state_->context, [weak] {
             if (const auto alive = weak.lock()) {
--- a/src/wire/event_loop.hpp
+++ b/src/wire/event_loop.hpp
@@ -1,4 +1,4 @@
-/// A thread that runs posted work and timers, on Boost.Asio.
+/// A Boost.Asio io_context with its own thread.
 #ifndef VANILLAGAUGE_WIRE_EVENT_LOOP_HPP
 #define VANILLAGAUGE_WIRE_EVENT_LOOP_HPP
 
@@ -13,23 +13,23 @@
 
 namespace vanillagauge::wire {
 
-/// Cancels its timer; safe after the timer has fired.
+/// Cancels the timer; no effect after it has fired.
 using timer_cancel = std::function<void()>;
 
 class event_loop {
 public:
     event_loop();
-    /// Stops the thread; work that has not started is dropped.
+    /// Stops the thread; pending work is dropped.
     ~event_loop();
     event_loop(const event_loop&) = delete;
     event_loop& operator=(const event_loop&) = delete;
 
     void post(std::function<void()> work);
-    /// Runs it on the loop's thread and waits for its end; on this one where the loop has ended. Not beside
-    /// `stop` on another thread.
+    /// Runs `work` on the loop's thread and waits for it; runs it on the calling thread if the loop has
+    /// stopped. Must not run concurrently with `stop`.
     void run_and_wait(const std::function<void()>& work);
     timer_cancel after(milliseconds delay, std::function<void()> work);
-    /// Ends the thread and waits for it; further work is dropped.
+    /// Stops and joins the thread; further work is dropped.
     void stop();
 
     boost::asio::io_context& context();
--- a/src/wire/http_channel.cpp
+++ b/src/wire/http_channel.cpp
@@ -17,9 +17,9 @@
 using web::http::client::http_client_config;
 
 constexpr std::size_t read_block = 16U << 10U;
-/// The library's own timer must never fire first: it cannot tell a deadline from a silence.
+/// Longer than any deadline: the library's timeout does not distinguish a deadline from a stalled connection.
 constexpr std::chrono::hours library_timeout{24};
-/// A call given up later than this has waited long enough to ask whether its path is silent.
+/// Calls cancelled before this time do not count as evidence of an unresponsive connection.
 constexpr milliseconds silence_threshold{100};
 
 http_client_config client_config()
@@ -29,7 +29,7 @@
     return config;
 }
 
-/// A client and its pool of connections.
+/// A cpprestsdk client with its connection pool.
 struct pooled_client {
     http_client client;
     std::atomic<time_point> last_answer{};
@@ -37,7 +37,7 @@
     explicit pooled_client(const std::string& address) : client("http://" + address, client_config()) {}
 };
 
-/// A channel's present client, which is replaced when its pool is found silent.
+/// The current client of a channel; replaced when its pooled connections stop responding.
 class client_holder {
 public:
     explicit client_holder(std::string address) : address_(std::move(address)), current_(make()) {}
@@ -50,11 +50,10 @@
         return current_;
     }
 
-    // Connections can go silent for good, all of one path at once, while new ones work. The library takes the
-    // next call's connection from the pool, so each call would time out on another silent connection, once
-    // for every connection of the pool. Where nothing was answered during the whole of a call that timed out,
-    // the pool is dropped; calls in flight keep their connections. An answer in the meantime shows that the
-    // path works and the request alone is slow.
+    // All connections to a server can stop responding at once while new ones work. Each call would then time
+    // out on another pooled connection. If there was no response during a call that timed out, the pool is
+    // replaced; calls in flight keep their connections. Any response since shows that the network works and
+    // only this request is slow.
     void replace_if_silent(const std::shared_ptr<pooled_client>& used, time_point since)
     {
         if (used->last_answer.load() > since) {
@@ -72,7 +71,7 @@
     std::shared_ptr<pooled_client> current_;
 };
 
-/// One call from its start to its completion.
+/// A running call.
 class http_call : public std::enable_shared_from_this<http_call> {
 public:
     http_call(event_loop& loop, codec encoding, const call_options& options,
@@ -97,7 +96,7 @@
             .then([self](const pplx::task<http_response>& answer) { self->on_head(answer); });
     }
 
-    /// A caller that gives up early says nothing of the connection; one that has waited does.
+    /// Only a cancellation after silence_threshold suggests an unresponsive connection.
     void cancel()
     {
         const bool waited = steady::now() - started_at_ >= silence_threshold;
@@ -138,7 +137,7 @@
         done_(std::move(outcome));
     }
 
-    /// The answer goes out first: the library may take its time to let go of a silent connection.
+    /// Completes the call first, because the library may be slow to close an unresponsive connection.
     void abort(error failure, bool maybe_silent)
     {
         if (maybe_silent && !finished_) {
@@ -152,18 +151,17 @@
     {
         auto self = shared_from_this();
         auto timer = loop_.after(options_.timeout, [self] {
-            self->abort(
-                {error_code::deadline_exceeded, run_state::in_doubt, "no whole answer within the timeout"},
-                true);
+            self->abort({error_code::deadline_exceeded, run_state::in_doubt,
+                         "no complete response within the timeout"},
+                        true);
         });
         const std::lock_guard lock(mutex_);
         deadline_ = std::move(timer);
     }
 
-    /// An open connection can go silent for good: without this check the stream would hold its slot until the
-    /// deadline. Silence is counted from the last byte, so a slow but living stream is left alone. The timer
-    /// does not keep an ended call: many short streams would each hold their buffers for a whole
-    /// `progress_timeout`.
+    /// Fails a stream on an unresponsive connection before its deadline. The time counts from the last byte,
+    /// so that a slow stream may continue. The timer holds a weak reference: otherwise short streams would
+    /// keep their buffers for the full `progress_timeout`.
     void watch_progress()
     {
         loop_.after(options_.progress_timeout, [weak = weak_from_this()] {
@@ -172,7 +170,9 @@
                 return;
             }
             if (steady::now() - self->progress() >= self->options_.progress_timeout) {
-                self->abort({error_code::unavailable, run_state::in_doubt, "the stream went silent"}, true);
+                self->abort({error_code::unavailable, run_state::in_doubt,
+                             "no data received within the progress timeout"},
+                            true);
                 return;
             }
             self->watch_progress();
@@ -212,7 +212,7 @@
         }
     }
 
-    /// The library reports a refused connection as host_unreachable; only then was nothing sent.
+    /// The library reports a refused connection as host_unreachable; only then was the request not sent.
     static error transport_error(const web::http::http_exception& failed)
     {
         const bool never_sent = failed.error_code() == std::errc::host_unreachable ||
@@ -247,7 +247,7 @@
         return from_message(message);
     }
 
-    /// Takes one byte, then whatever else has arrived: the library's reads wait until they are satisfied.
+    /// Reads one byte, then what is available: the library's reads wait for the full requested size.
     void read_some()
     {
         auto self = shared_from_this();
@@ -269,8 +269,8 @@
             });
     }
 
-    /// Copies what has arrived to `read_buffer_` from `start` on. Acquiring takes the buffer's lock; its
-    /// count of available bytes is read without one.
+    /// Copies the available bytes to `read_buffer_` at `start`. Uses acquire(), which locks the buffer; its
+    /// in_avail() does not.
     std::size_t take_available(concurrency::streams::streambuf<std::uint8_t>& buffer, std::size_t start)
     {
         std::uint8_t* bytes = nullptr;
@@ -305,7 +305,8 @@
             finish(std::string());
             return;
         }
-        finish(error{error_code::incomplete, run_state::in_doubt, "the stream ended within a message"});
+        finish(error{error_code::incomplete, run_state::in_doubt,
+                     "the stream ended in the middle of a message"});
     }
 };
 
--- a/src/wire/http_channel.hpp
+++ b/src/wire/http_channel.hpp
@@ -1,4 +1,4 @@
-/// Calls over HTTP/1.1, on cpprestsdk's client.
+/// Channel over HTTP/1.1, using cpprestsdk's client.
 #ifndef VANILLAGAUGE_WIRE_HTTP_CHANNEL_HPP
 #define VANILLAGAUGE_WIRE_HTTP_CHANNEL_HPP
 
@@ -12,7 +12,7 @@
 
 class http_channel final : public channel {
 public:
-    /// `address` is host:port. The loop must outlive the channel; calls in flight outlive it.
+    /// `address` is host:port. The loop must outlive the channel; calls in flight may outlive the channel.
     http_channel(event_loop& loop, std::string address, codec encoding = codec::json);
     ~http_channel() override;
 
--- a/src/wire/http_server.cpp
+++ b/src/wire/http_server.cpp
@@ -86,7 +86,7 @@
             accept();
             return;
         }
-        // Out of file descriptors, most likely: the accept fails at once again and again, so it pauses.
+        // Usually out of file descriptors; the delay keeps accept from failing in a tight loop.
         accept_retry_timer.expires_after(accept_retry_delay);
         accept_retry_timer.async_wait([this](const boost::system::error_code& cancelled) {
             if (cancelled) {
@@ -114,7 +114,7 @@
         const auto on_end = [this, weak] { remove_connection(weak.lock()); };
         if (full) {
             accepted->reject_connection({error_code::overloaded, run_state::not_run,
-                                         "every connection of this address is taken", full_retry_after},
+                                         "the server has reached its connection limit", full_retry_after},
                                         on_end);
         }
         else {
@@ -132,8 +132,8 @@
         connection_ended.notify_all();
     }
 
-    /// A client whose connection the kernel has already taken may have sent its request; closing the listener
-    /// would reset it without an answer. So what waits is taken first, and served like any open connection.
+    /// Closing the acceptor resets the connections in its backlog, which may carry requests, so they are
+    /// accepted and served first.
     void close_acceptor()
     {
         boost::system::error_code failed;
@@ -149,7 +149,7 @@
         accept_retry_timer.cancel();
     }
 
-    /// The last accept has ended, and with it the chance of one more connection.
+    /// No further connection will be accepted.
     void on_acceptor_closed()
     {
         const std::lock_guard lock(mutex);
--- a/src/wire/internal/http2_session.cpp
+++ b/src/wire/internal/http2_session.cpp
@@ -14,7 +14,7 @@
 
 nghttp2_nv to_nv(const std::pair<std::string, std::string>& header)
 {
-    // nghttp2 copies both and changes neither.
+    // nghttp2 copies name and value and does not modify them.
     auto* key = reinterpret_cast<std::uint8_t*>(const_cast<char*>(header.first.data()));   // NOLINT
     auto* text = reinterpret_cast<std::uint8_t*>(const_cast<char*>(header.second.data())); // NOLINT
     return {key, text, header.first.size(), header.second.size(), NGHTTP2_NV_FLAG_NONE};
@@ -32,7 +32,7 @@
 
 } // namespace
 
-/// The C callbacks of nghttp2; each finds its session behind the user pointer.
+/// C callbacks of nghttp2; the user pointer is the session.
 struct http2_callbacks {
     static http2_session& self(void* user) { return *static_cast<http2_session*>(user); }
 
--- a/src/wire/internal/http2_session.hpp
+++ b/src/wire/internal/http2_session.hpp
@@ -1,4 +1,4 @@
-/// One HTTP/2 connection: nghttp2 for the frames, Boost.Asio for the socket. Used on its loop's thread only.
+/// One HTTP/2 connection: nghttp2 for framing, Boost.Asio for I/O. Use on the loop's thread only.
 #ifndef VANILLAGAUGE_WIRE_INTERNAL_HTTP2_SESSION_HPP
 #define VANILLAGAUGE_WIRE_INTERNAL_HTTP2_SESSION_HPP
 
@@ -20,7 +20,7 @@
 
 using header_list = std::vector<std::pair<std::string, std::string>>;
 
-/// What one side has received on a stream so far.
+/// Data received and to be sent on one stream.
 struct http2_stream {
     std::map<std::string, std::string> headers;
     std::string received;
@@ -33,9 +33,9 @@
     enum class side { client, server };
 
     struct events {
-        std::function<void(std::int32_t stream)> on_message; ///< the other side ended its half of the stream
+        std::function<void(std::int32_t stream)> on_message; ///< END_STREAM received: the message is complete
         std::function<void(std::int32_t stream)> on_stream_close;
-        std::function<void()> on_close; ///< the connection is gone; called once
+        std::function<void()> on_close; ///< the connection is closed; called once
     };
 
     http2_session(boost::asio::ip::tcp::socket socket, side which, events handlers);
@@ -43,9 +43,9 @@
     http2_session(const http2_session&) = delete;
     http2_session& operator=(const http2_session&) = delete;
 
-    /// Sends the preface and starts to read.
+    /// Sends the connection preface and starts reading.
     void start();
-    /// Returns the new stream's id; negative where the connection takes no more.
+    /// Returns the id of the new stream; negative if the connection accepts no more streams.
     std::int32_t submit_request(const header_list& headers, std::string body);
     void submit_response(std::int32_t stream, const header_list& headers, std::string body);
     void reset(std::int32_t stream);
--- a/src/wire/internal/http_connection.cpp
+++ b/src/wire/internal/http_connection.cpp
@@ -69,11 +69,11 @@
 {
     boost::asio::post(socket_.get_executor(), [self = shared_from_this()] {
         self->draining_ = true;
-        // An answer whose head is out has told the client already whether its connection is kept.
+        // A response head already sent has told the client whether the connection stays open.
         const bool head_sent = self->stream_started_ || self->reply_complete_;
         self->reply_options_.keep_alive = self->reply_options_.keep_alive && head_sent;
         if (self->stage_ == stage::idle) {
-            // A request may be on its way over this kept connection; closing at once would cut it.
+            // A request may be in transit on this connection; closing it at once would lose the request.
             self->arm_read_timer(self->context_.limits.drain_grace);
         }
     });
@@ -88,7 +88,7 @@
                       });
 }
 
-/// The timer cancels the reads of the socket; the reader then finds `read_timed_out_` set.
+/// On expiry, sets `read_timed_out_` and cancels the pending read.
 void http_connection::arm_read_timer(milliseconds time)
 {
     read_timed_out_ = false;
@@ -96,7 +96,7 @@
     read_timer_.async_wait([self = shared_from_this()](const error_code& cancelled) {
         const bool reading =
             self->stage_ == stage::idle || self->stage_ == stage::head || self->stage_ == stage::body;
-        // A timer that was set anew while its old completion was queued is not over yet.
+        // The timer may have been restarted while its old completion was queued.
         const bool over = self->read_timer_.expiry() <= std::chrono::steady_clock::now();
         if (cancelled || !reading || !over) {
             return;
@@ -188,7 +188,7 @@
     read_body();
 }
 
-/// What is wrong with a head, before any byte of the body is taken.
+/// Validates the head before the body is read.
 std::optional<error> http_connection::check_head(unsigned& as_status)
 {
     using code = vanillagauge::error_code;
@@ -233,7 +233,7 @@
     using code = vanillagauge::error_code;
     if (read_timed_out_) {
         reject_request(not_run_error(code::deadline_exceeded,
-                                     "expected the whole body within " +
+                                     "expected the complete body within " +
                                          std::to_string(context_.limits.body_time.count()) + " ms"),
                        number(status::request_timeout));
         return;
@@ -243,8 +243,9 @@
         return;
     }
     if (failed) {
-        reject_request(not_run_error(code::incomplete, "expected the whole body, found: " + failed.message()),
-                       number(status::bad_request));
+        reject_request(
+            not_run_error(code::incomplete, "expected the complete body, found: " + failed.message()),
+            number(status::bad_request));
         return;
     }
     read_timer_.cancel();
@@ -252,7 +253,7 @@
     serve();
 }
 
-/// Answers and gives the connection up: where the next request starts is not known any more.
+/// Sends the error and closes, because the start of the next request is unknown.
 void http_connection::reject_request(const error& failure, unsigned as_status)
 {
     stage_ = stage::call;
@@ -300,7 +301,7 @@
     context_.calls.dispatch(std::move(call), reply_options_.encoding, body, std::move(sink));
 }
 
-/// Handlers answer from any thread, also before `dispatch` returns; the connection is touched on its strand.
+/// Handlers may complete on any thread, also before `dispatch` returns; the connection is used on its strand.
 reply_sink http_connection::unary_sink()
 {
     reply_sink sink;
@@ -331,7 +332,7 @@
     return sink;
 }
 
-/// The head goes out with the first chunk, so that an early error keeps its status.
+/// The head is sent with the first chunk, so that an earlier error can still set the status.
 void http_connection::add_chunk(const std::string& bytes)
 {
     if (!std::exchange(stream_started_, true)) {
@@ -364,8 +365,8 @@
     }
     outgoing_bytes_ += bytes.size();
     if (stream_started_ && outgoing_bytes_ > context_.limits.unsent_bytes) {
-        // A reader that stands still would have the whole stream kept for it in memory. The stream is cut
-        // without its last chunk, so the reader cannot take it for whole.
+        // Bounds the memory for a stalled reader. Without the last chunk the reader cannot take the stream
+        // for complete.
         client_disconnected_ = true;
         error_code ignored;
         socket_.close(ignored);
@@ -412,8 +413,8 @@
     writing_ = false;
     write_timer_.cancel();
     if (failed) {
-        // The reader has gone or stands still. A handler may still run: its chunks are dropped, and the
-        // connection ends with its answer.
+        // The client has disconnected or stalled. A running handler's chunks are dropped, and the connection
+        // ends when it completes.
         client_disconnected_ = true;
         error_code ignored;
         socket_.close(ignored);
@@ -442,8 +443,8 @@
     linger();
 }
 
-/// Closing a socket with unread bytes resets the connection, and the reset can destroy the answer before the
-/// client has read it. So the sending side ends first, and what still comes is dropped for a short while.
+/// Closing a socket with unread bytes resets the connection, which can destroy the response before the client
+/// has read it. So this shuts down the sending side first and discards input for up to `linger_time`.
 void http_connection::linger()
 {
     error_code failed;
--- a/src/wire/internal/http_connection.hpp
+++ b/src/wire/internal/http_connection.hpp
@@ -1,4 +1,4 @@
-/// One accepted HTTP/1.1 connection: bounded reading, one call at a time, bounded writing. On Boost.Beast.
+/// One accepted HTTP/1.1 connection, using Boost.Beast: one call at a time, bounded reads and writes.
 #ifndef VANILLAGAUGE_WIRE_INTERNAL_HTTP_CONNECTION_HPP
 #define VANILLAGAUGE_WIRE_INTERNAL_HTTP_CONNECTION_HPP
 
@@ -19,25 +19,26 @@
 
 namespace vanillagauge::wire::internal {
 
-/// What a server's connections share.
+/// State shared by the connections of a server.
 struct server_context {
     const dispatcher& calls;
     http_limits limits;
     std::map<std::string, std::function<std::string()>> pages;
 };
 
-/// Its socket runs on a strand; every member function below runs there, unless it says otherwise.
+/// Member functions run on the strand of the socket unless documented otherwise.
 class http_connection : public std::enable_shared_from_this<http_connection> {
 public:
     using socket = boost::asio::ip::tcp::socket;
 
     http_connection(socket peer, const server_context& context);
 
-    /// From any thread. `on_end` runs once, when the socket is closed.
+    /// Callable from any thread. `on_end` runs once, when the socket is closed.
     void start(std::function<void()> on_end);
-    /// From any thread. Answers what is in flight, then ends; an idle connection ends after a short grace.
+    /// Callable from any thread. Closes after the current response; an idle connection closes after
+    /// `drain_grace`.
     void drain();
-    /// From any thread. Turns the connection away with this answer.
+    /// Callable from any thread. Sends this error and closes.
     void reject_connection(const error& failure, std::function<void()> on_end);
 
 private:
@@ -58,11 +59,10 @@
     bool draining_ = false;
     bool read_timed_out_ = false;
     bool writing_ = false;
-    bool reply_complete_ = false; ///< the last byte of the current answer is in `outgoing_`
+    bool reply_complete_ = false; ///< the current response is completely queued in `outgoing_`
     bool stream_started_ = false;
     std::atomic<bool> client_disconnected_{false}; ///< read by handlers on any thread
 
-    // Reading.
     void await_request();
     void read_head();
     void on_head(boost::system::error_code failed);
@@ -72,7 +72,6 @@
     void reject_request(const error& failure, unsigned status);
     std::optional<error> check_head(unsigned& status);
 
-    // Serving.
     void serve();
     void serve_page();
     void serve_call();
@@ -81,7 +80,6 @@
     void add_chunk(const std::string& bytes);
     void finish_stream(const result<std::string>& outcome);
 
-    // Writing.
     void queue(std::string bytes);
     void finish_reply(std::string bytes);
     void write_next();
--- a/src/wire/peer_channel.cpp
+++ b/src/wire/peer_channel.cpp
@@ -45,7 +45,7 @@
     }
     v1::Error message;
     if (!ok(decode(codec::protobuf, received.received, message))) {
-        return error{error_code::internal, run_state::in_doubt, "the peer's error cannot be read"};
+        return error{error_code::internal, run_state::in_doubt, "cannot decode the error of the peer"};
     }
     return from_message(message);
 }
@@ -80,7 +80,7 @@
         auto self = shared_from_this();
         call->deadline = loop.after(call->options.timeout, [self, call] {
             self->abort(call, {error_code::deadline_exceeded, run_state::in_doubt,
-                               "no answer from " + self->address});
+                               "no response from " + self->address});
         });
         if (session) {
             send(call);
@@ -105,8 +105,8 @@
         }
         const auto stream = session->submit_request(headers, std::move(call->body));
         if (stream < 0) {
-            finish(*call,
-                   error{error_code::unavailable, run_state::not_run, "the connection takes no more calls"});
+            finish(*call, error{error_code::unavailable, run_state::not_run,
+                                "the connection accepts no more calls"});
             return;
         }
         call->stream = stream;
@@ -215,7 +215,8 @@
         }
         const auto call = found->second;
         sent.erase(found);
-        finish(*call, error{error_code::unavailable, run_state::in_doubt, "the peer dropped the call"});
+        finish(*call, error{error_code::unavailable, run_state::in_doubt,
+                            "the peer closed the stream without a response"});
     }
 
     void on_close(const std::shared_ptr<http2_session>& which)
@@ -231,9 +232,9 @@
         }
     }
 
-    /// A connection can go silent for good while new ones work, and a call on it would wait out its deadline.
-    /// PINGs make a living connection receive something, so silence means it is lost; the next call opens a
-    /// new one.
+    /// A connection can stop responding while new ones work, and calls on it would wait until their deadline.
+    /// A live peer acknowledges PINGs, so a connection that receives nothing is closed; the next call
+    /// reconnects.
     void watch_session(const std::shared_ptr<http2_session>& which)
     {
         auto self = shared_from_this();
--- a/src/wire/peer_channel.hpp
+++ b/src/wire/peer_channel.hpp
@@ -1,5 +1,5 @@
-/// Calls to another of our processes: one long-lived HTTP/2 connection, checked by PING and replaced when
-/// silent.
+/// Channel to another process of this service: one long-lived HTTP/2 connection, checked by PING frames and
+/// replaced when the peer stops responding.
 #ifndef VANILLAGAUGE_WIRE_PEER_CHANNEL_HPP
 #define VANILLAGAUGE_WIRE_PEER_CHANNEL_HPP
 
@@ -14,7 +14,8 @@
 struct peer_timing {
     milliseconds connect_timeout{1000};
     milliseconds ping_interval{500};
-    milliseconds keepalive_timeout{1500}; ///< a connection with nothing received for this long is replaced
+    milliseconds keepalive_timeout{
+        1500}; ///< maximum time without received data; then the connection is closed
 };
 
 class peer_channel final : public channel {
@@ -24,11 +25,11 @@
     ~peer_channel() override;
 
     codec encoding() const override { return codec::protobuf; }
-    /// Streamed answers are not offered between peers: `chunk` must be empty.
+    /// Streamed responses are not supported: `chunk` must be empty.
     call_cancel start(const std::string& path, std::string body, const call_options& options, on_chunk chunk,
                       on_done done) override;
-    /// Ends the connection and every call; their callbacks may hold the channel and would otherwise keep it,
-    /// and themselves, once the loop has ended.
+    /// Closes the connection and fails every call. Callbacks may own the channel, a reference cycle that
+    /// would otherwise outlive the loop.
     void close();
 
 private:
--- a/src/wire/peer_server.cpp
+++ b/src/wire/peer_server.cpp
@@ -101,7 +101,7 @@
         calls.dispatch(std::move(call), codec::protobuf, body, std::move(sink));
     }
 
-    /// Handlers answer from any thread; the session is touched on the loop's thread only.
+    /// Handlers may complete on any thread; the session is used on the loop's thread only.
     void answer(const std::weak_ptr<http2_session>& weak, std::int32_t stream,
                 const result<std::string>& outcome) const
     {
--- a/src/wire/peer_server.hpp
+++ b/src/wire/peer_server.hpp
@@ -1,4 +1,4 @@
-/// The HTTP/2 front of a dispatcher for our own processes, on nghttp2.
+/// HTTP/2 server for a dispatcher, for calls between processes of this service, using nghttp2.
 #ifndef VANILLAGAUGE_WIRE_PEER_SERVER_HPP
 #define VANILLAGAUGE_WIRE_PEER_SERVER_HPP
 
@@ -12,13 +12,13 @@
 
 class peer_server {
 public:
-    /// Both must outlive the server.
+    /// The loop and the dispatcher must outlive the server.
     peer_server(event_loop& loop, const dispatcher& calls);
     ~peer_server();
     peer_server(const peer_server&) = delete;
     peer_server& operator=(const peer_server&) = delete;
 
-    /// Opens `host:port`; port 0 picks a free one. Returns the bound address.
+    /// Listens on `host:port`; port 0 picks a free port. Returns the bound address.
     result<std::string> open(const std::string& address);
     void close();
 
--- a/src/wire/wire.hpp
+++ b/src/wire/wire.hpp
@@ -1,4 +1,4 @@
-/// Remote procedure calls from the schema's services: HTTP/1.1 for everyone, HTTP/2 between our processes.
+/// Remote procedure calls to the schema's services: HTTP/1.1 for clients, HTTP/2 between our own processes.
 #ifndef VANILLAGAUGE_WIRE_WIRE_HPP
 #define VANILLAGAUGE_WIRE_WIRE_HPP
 
