--- a/tests/net/connection_tests.cpp
+++ b/tests/net/connection_tests.cpp
@@ -38,7 +38,7 @@
     return std::get<http_failure>(outcome).kind;
 }
 
-TEST(http_connection, tells_a_refused_connection_from_a_request_that_was_sent)
+TEST(http_connection, refused_connection_is_reported_as_not_sent)
 {
     loop_thread thread;
     std::shared_ptr<http_connection> used;
@@ -48,19 +48,19 @@
     EXPECT_FALSE(failed.sent);
 }
 
-TEST(http_connection, does_not_take_bytes_that_are_no_answer_for_one)
+TEST(http_connection, malformed_response_is_rejected)
 {
     EXPECT_EQ(failure_of("what is this?\r\n\r\n"), failure_kind::malformed);
 }
 
-TEST(http_connection, ends_a_wait_for_an_answer_that_stops_midway)
+TEST(http_connection, truncated_response_times_out)
 {
     EXPECT_EQ(failure_of("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"), failure_kind::timeout);
 }
 
-// The next caller gets the second answer to an earlier request: a replica sends an answer twice, and the
-// spare one stands unread on the pooled connection when the next request is sent on it.
-TEST(http_connection, is_not_used_again_with_an_answer_unread)
+// Guards against a duplicate response, unread on a pooled connection, that the next request takes for its
+// own.
+TEST(http_connection, not_reusable_with_unread_response)
 {
     loop_thread thread;
     raw_server server("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -72,7 +72,7 @@
     used.reset();
 }
 
-TEST(http_connection, may_be_used_again_after_a_whole_answer)
+TEST(http_connection, reusable_after_complete_response)
 {
     loop_thread thread;
     raw_server server("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
@@ -113,7 +113,7 @@
     EXPECT_NE(answer.find("POST hi"), std::string::npos);
 }
 
-TEST(http_service, reads_bodies_in_chunks)
+TEST(http_service, reads_chunked_bodies)
 {
     echo_service running;
     const auto answer =
@@ -122,7 +122,7 @@
     EXPECT_NE(answer.find("POST hi"), std::string::npos);
 }
 
-TEST(http_service, refuses_what_is_too_long_with_its_own_status)
+TEST(http_service, rejects_oversized_and_malformed_requests)
 {
     service_limits limits;
     limits.header_bytes = 1000;
@@ -138,9 +138,8 @@
               std::string::npos);
 }
 
-// One request is smuggled inside another: two ends that disagree on where a body ends pass different requests
-// on.
-TEST(http_service, refuses_a_request_with_two_lengths)
+// Guards against request smuggling: proxy and server could disagree on where the body ends.
+TEST(http_service, rejects_content_length_with_chunked_encoding)
 {
     echo_service running;
     const auto answer =
@@ -149,9 +148,8 @@
     EXPECT_EQ(answer.find("HTTP/1.1 200"), std::string::npos);
 }
 
-// A client sends half a head and stays. Its connection must not be held for ever; nothing is answered, since
-// nothing was asked.
-TEST(http_service, ends_a_connection_whose_head_does_not_come)
+// Guards against connections held open by clients that never complete a request head.
+TEST(http_service, closes_without_response_after_header_timeout)
 {
     service_limits limits;
     limits.header_time = milliseconds(100);
@@ -161,7 +159,7 @@
     EXPECT_LT(steady::now() - began, milliseconds(1000));
 }
 
-TEST(http_service, says_that_it_closes_once_it_drains)
+TEST(http_service, sends_connection_close_while_draining)
 {
     echo_service running;
     running.service.drain();
@@ -169,8 +167,8 @@
     EXPECT_NE(answer.find("Connection: close"), std::string::npos);
 }
 
-// Guards against a listener whose end resets the connections that wait in it.
-TEST(http_service, answers_what_waited_when_it_closed)
+// Guards against a close that resets the connections in the backlog.
+TEST(http_service, serves_backlog_when_closed)
 {
     echo_service running;
     std::promise<void> blocked;
@@ -184,8 +182,8 @@
     EXPECT_NE(waiting.get().find("HTTP/1.1 200"), std::string::npos);
 }
 
-// Guards against a stop that waits for clients which send nothing.
-TEST(http_service, ends_connections_without_a_request_once_it_closes)
+// Guards against a shutdown that waits for idle clients.
+TEST(http_service, closes_idle_connections_when_closed)
 {
     echo_service running;
     auto idle = std::async(std::launch::async, [&] { return raw_exchange(running.address, ""); });
@@ -195,8 +193,8 @@
     EXPECT_EQ(idle.get(), "");
 }
 
-// Guards against a request that is cut because its handler takes longer than the process lives.
-TEST(http_service, answers_in_place_of_a_handler_that_it_gives_up)
+// Guards against a request left without a response because its handler outlasts the process.
+TEST(http_service, abort_requests_responds_for_running_handler)
 {
     loop_thread thread;
     std::promise<void> taken;
@@ -223,8 +221,8 @@
     over.get_future().wait();
 }
 
-// A client leaves while its request is under way; whoever works for it must hear of it at once.
-TEST(http_service, tells_of_a_client_that_leaves)
+// Guards against a handler that works on for a client that has disconnected.
+TEST(http_service, reports_client_disconnect)
 {
     loop_thread thread;
     std::promise<void> gone;
--- a/tests/net/loopback.hpp
+++ b/tests/net/loopback.hpp
@@ -1,4 +1,4 @@
-/// A loop on a thread of its own, and raw peers for what no proper HTTP peer would do.
+/// An event loop on its own thread, and raw TCP peers for malformed HTTP.
 #ifndef VANILLAGAUGE_TESTS_NET_LOOPBACK_HPP
 #define VANILLAGAUGE_TESTS_NET_LOOPBACK_HPP
 
@@ -31,7 +31,7 @@
 
     loop& context() { return context_; }
 
-    /// Runs the task on the loop and waits for its value.
+    /// Runs the task on the loop and blocks until it returns its value.
     template <class Value>
     Value run(task<Value> work)
     {
@@ -53,7 +53,7 @@
     std::thread thread_;
 };
 
-/// Accepts one connection, reads to the end of a request's head, and sends what it is given.
+/// Accepts one connection, reads a request head, and sends the given bytes.
 class raw_server {
 public:
     explicit raw_server(std::string answer)
@@ -86,7 +86,7 @@
     std::thread thread_;
 };
 
-/// Sends raw bytes and returns all that comes back until the peer closes.
+/// Sends raw bytes and returns everything received until the peer closes.
 inline std::string raw_exchange(const std::string& address, const std::string& bytes)
 {
     boost::asio::io_context context;
--- a/tests/net/message_tests.cpp
+++ b/tests/net/message_tests.cpp
@@ -5,7 +5,7 @@
 namespace vanillagauge::net {
 namespace {
 
-TEST(http_fields, compare_names_without_case)
+TEST(http_fields, names_are_case_insensitive)
 {
     http_fields fields;
     fields.add("Attempt-Id", "one");
@@ -16,7 +16,7 @@
     EXPECT_EQ(fields.find("absent"), "");
 }
 
-TEST(is_hop_by_hop, names_hop_by_hop_fields_and_those_that_connection_lists)
+TEST(is_hop_by_hop, includes_fields_listed_in_connection)
 {
     EXPECT_TRUE(is_hop_by_hop("transfer-encoding", ""));
     EXPECT_TRUE(is_hop_by_hop("X-Private", "close, x-private"));
@@ -32,7 +32,7 @@
     EXPECT_EQ(path_of("/p/q?x=1"), "/p/q");
 }
 
-TEST(event_reader, finds_events_across_pieces)
+TEST(event_reader, parses_events_split_across_reads)
 {
     event_reader reader;
     EXPECT_TRUE(reader.feed("id: 1\nda").empty());
@@ -46,7 +46,7 @@
     EXPECT_FALSE(reader.has_partial_event());
 }
 
-TEST(event_reader, drops_comments_and_ids_that_are_no_numbers)
+TEST(event_reader, drops_comments_and_non_numeric_ids)
 {
     event_reader reader;
     EXPECT_TRUE(reader.feed(": keep-alive\n\n").empty());
@@ -55,7 +55,7 @@
     EXPECT_FALSE(events[0].id);
 }
 
-TEST(idle_time_of, leaves_room_for_a_close_that_crosses_a_request)
+TEST(idle_time_of, subtracts_close_margin)
 {
     http_fields fields;
     EXPECT_EQ(idle_time_of(fields, seconds(4)), seconds(4));
--- a/tests/wire/call_tests.cpp
+++ b/tests/wire/call_tests.cpp
@@ -77,7 +77,7 @@
 
 const std::string call_path = method<target::v1::PlainService>("Call");
 
-TEST(http_call, the_answer_belongs_to_the_request)
+TEST(http_call, returns_response)
 {
     test_server server;
     http_channel link(server.loop, server.http_address);
@@ -87,7 +87,7 @@
     EXPECT_EQ(value(reply).body(), "hello");
 }
 
-TEST(http_call, a_wrong_token_is_refused_as_not_run)
+TEST(http_call, wrong_token_fails_as_not_run)
 {
     test_server server;
     http_channel link(server.loop, server.http_address);
@@ -98,7 +98,7 @@
     EXPECT_EQ(failure(reply).ran, run_state::not_run);
 }
 
-TEST(http_call, a_typed_error_keeps_its_code_run_state_and_advice)
+TEST(http_call, error_keeps_code_run_state_and_retry_after)
 {
     test_server server;
     http_channel link(server.loop, server.http_address);
@@ -110,7 +110,7 @@
     EXPECT_EQ(failure(reply).retry_after, milliseconds{250});
 }
 
-TEST(http_call, a_refused_connection_is_known_not_to_have_run)
+TEST(http_call, refused_connection_fails_as_not_run)
 {
     event_loop loop;
     http_channel link(loop, "127.0.0.1:1");
@@ -142,9 +142,9 @@
     return seen;
 }
 
-class streamed_answer : public testing::TestWithParam<codec> {};
+class streamed_response : public testing::TestWithParam<codec> {};
 
-TEST_P(streamed_answer, arrives_whole_and_in_order)
+TEST_P(streamed_response, arrives_complete_and_in_order)
 {
     test_server server;
     http_channel link(server.loop, server.http_address, GetParam());
@@ -154,7 +154,7 @@
     EXPECT_EQ(seen.sequences.back(), 49);
 }
 
-TEST_P(streamed_answer, that_breaks_off_ends_with_the_typed_error)
+TEST_P(streamed_response, failed_stream_ends_with_error)
 {
     test_server server;
     http_channel link(server.loop, server.http_address, GetParam());
@@ -165,9 +165,9 @@
     EXPECT_EQ(failure(seen.outcome).ran, run_state::ran);
 }
 
-INSTANTIATE_TEST_SUITE_P(both_codecs, streamed_answer, testing::Values(codec::json, codec::protobuf));
+INSTANTIATE_TEST_SUITE_P(both_codecs, streamed_response, testing::Values(codec::json, codec::protobuf));
 
-TEST(peer_call, many_calls_share_one_connection_and_keep_their_answers)
+TEST(peer_call, concurrent_calls_get_their_own_responses)
 {
     test_server server;
     peer_channel link(server.loop, server.peer_address);
@@ -185,7 +185,7 @@
     }
 }
 
-TEST(peer_call, a_large_message_arrives_whole)
+TEST(peer_call, large_message_arrives_complete)
 {
     test_server server;
     peer_channel link(server.loop, server.peer_address);
@@ -196,7 +196,7 @@
     EXPECT_EQ(value(reply).body().size(), large.size());
 }
 
-TEST(peer_call, a_dead_peer_is_known_not_to_have_run_the_call)
+TEST(peer_call, unreachable_peer_fails_as_not_run)
 {
     event_loop loop;
     peer_channel link(loop, "127.0.0.1:1");
@@ -205,7 +205,7 @@
     EXPECT_EQ(failure(reply).ran, run_state::not_run);
 }
 
-TEST(peer_call, a_typed_error_keeps_its_code)
+TEST(peer_call, error_keeps_code)
 {
     test_server server;
     peer_channel link(server.loop, server.peer_address);
@@ -215,7 +215,7 @@
     EXPECT_EQ(failure(reply).code, error_code::overloaded);
 }
 
-/// Writes until it learns that its client has gone.
+/// Writes until the client has disconnected.
 class endless_engine final : public target::v1::Engine {
 public:
     ~endless_engine() override { thread_.join(); }
@@ -238,9 +238,8 @@
     std::thread thread_;
 };
 
-// A caller hangs up in the middle of a stream. Its engine would work on to the last token for nobody; the
-// handler is told, so that it can stop. The test ends only because it is.
-TEST(http_call, a_stream_whose_client_has_gone_is_cancelled)
+// Guards against a handler that streams on after its client has disconnected; the test would then not end.
+TEST(http_call, stream_is_cancelled_on_client_disconnect)
 {
     event_loop loop;
     endless_engine engine;
@@ -267,10 +266,8 @@
     EXPECT_GT(chunks, 0);
 }
 
-// Thousands of short streams run in a step, each watched for silence by a timer of some seconds. A timer that
-// kept its ended call would keep the buffers too: with 2,048 samples a step the process held 200 MB in place
-// of 70.
-TEST(http_call, an_ended_stream_is_let_go_before_its_progress_timer_fires)
+// Guards against a progress timer that keeps the buffers of an ended stream until it fires.
+TEST(http_call, ended_stream_is_released_before_progress_timeout)
 {
     test_server server;
     http_channel link(server.loop, server.http_address);
--- a/tests/wire/input_limits_tests.cpp
+++ b/tests/wire/input_limits_tests.cpp
@@ -12,9 +12,8 @@
 
 #include <future>
 
-// Hostile and broken senders on raw sockets. What such a client sees is a typed JSON error that says
-// `NOT_RUN` and the end of its connection; what others see is a server that goes on answering. Limits are
-// short, and no test measures a time.
+// Malformed and hostile requests on raw sockets. The client must get a typed JSON error with `NOT_RUN` and a
+// closed connection, and the server must go on serving others.
 
 namespace vanillagauge::wire {
 namespace {
@@ -35,7 +34,7 @@
     }
 };
 
-/// Answers when the test says so.
+/// Responds when the test sets `release`.
 class blocked_service final : public target::v1::PlainService {
 public:
     std::promise<void> entered;
@@ -107,7 +106,7 @@
         socket_.connect(endpoint_of(address));
     }
 
-    /// The server may close while the bytes are on their way; what it answered is read all the same.
+    /// Ignores errors: the server may close early, and its response can still be read.
     void send(const std::string& bytes)
     {
         boost::system::error_code ignored;
@@ -162,7 +161,7 @@
 public:
     ~input_limits() override
     {
-        // Whatever a test sent, the server still answers others.
+        // The server must still serve other clients.
         raw_client other(address);
         other.send(request_with_body(R"({"request_id":"r9"})"));
         const auto reply = parse(other.read_to_end());
@@ -237,12 +236,12 @@
     expect_error(exchange(head("X-Long: " + std::string(100000, 'a') + "\r\n")), 431, "too_large");
 }
 
-TEST_F(input_limits, a_sender_that_stops_within_its_headers_is_turned_away)
+TEST_F(input_limits, incomplete_headers_time_out)
 {
     expect_error(exchange("POST " + call_path + " HTTP/1.1\r\nHost: a\r\n"), 408, "deadline_exceeded");
 }
 
-TEST_F(input_limits, a_sender_that_stops_within_its_body_is_turned_away)
+TEST_F(input_limits, incomplete_body_times_out)
 {
     expect_error(exchange(head(json_type + "Content-Length: 100\r\n") + "{\"requ"), 408, "deadline_exceeded");
 }
@@ -286,7 +285,7 @@
     EXPECT_NE(reply.body.find("levels"), std::string::npos) << reply.body;
 }
 
-TEST_F(input_limits, brackets_within_a_string_are_no_levels)
+TEST_F(input_limits, brackets_in_strings_do_not_count_as_nesting)
 {
     EXPECT_EQ(exchange(request_with_body("{\"request_id\": \"" + std::string(400, '[') + "\\\"\"}")).status,
               200);
@@ -297,13 +296,13 @@
     expect_error(exchange(request_with_body("{}", "", call_path + "x")), 404, "unimplemented");
 }
 
-TEST_F(input_limits, another_content_type_is_refused)
+TEST_F(input_limits, unsupported_content_type_is_refused)
 {
     expect_error(exchange(head("Content-Type: text/xml\r\nContent-Length: 2\r\n") + "{}"), 415,
                  "invalid_argument");
 }
 
-TEST_F(input_limits, another_verb_is_refused)
+TEST_F(input_limits, unsupported_http_method_is_refused)
 {
     const auto reply = exchange("DELETE " + call_path + " HTTP/1.1\r\nHost: a\r\n\r\n");
     expect_error(reply, 405, "invalid_argument");
@@ -339,7 +338,7 @@
         << reply.head;
 }
 
-TEST(connection_limit, a_connection_beyond_it_is_told_when_to_come_back)
+TEST(connection_limit, excess_connection_gets_retry_after)
 {
     echo_service echo;
     dispatcher calls{access_table{}};
@@ -364,9 +363,8 @@
     return bool(failed);
 }
 
-/// A stop is asked for while a call runs. The caller gets its whole answer, new connections are refused, and
-/// only then does the server close.
-TEST(graceful_shutdown, a_call_in_flight_is_answered_whole_while_new_connections_are_refused)
+// Guards against a shutdown that cuts a call in flight or still accepts connections.
+TEST(graceful_shutdown, call_in_flight_completes_and_new_connections_are_refused)
 {
     blocked_service slow;
     dispatcher calls{access_table{}};
@@ -387,7 +385,7 @@
     closed.get();
 }
 
-TEST(graceful_shutdown, a_stream_in_flight_runs_to_its_last_chunk)
+TEST(graceful_shutdown, stream_in_flight_completes)
 {
     blocked_engine engine;
     dispatcher calls{access_table{}};
@@ -408,9 +406,8 @@
     closed.get();
 }
 
-/// A stop is asked for while a client has sent half of its body and will never send the rest. The wait for it
-/// ends with the time for a body; without that limit the process would never stop.
-TEST(graceful_shutdown, a_half_sent_body_does_not_hold_it)
+// Guards against a shutdown that waits without end for the rest of a request body; `body_time` bounds it.
+TEST(graceful_shutdown, incomplete_body_does_not_block_shutdown)
 {
     echo_service echo;
     dispatcher calls{access_table{}};
--- a/tests/wire/silent_http_tests.cpp
+++ b/tests/wire/silent_http_tests.cpp
@@ -20,8 +20,8 @@
 
 constexpr int pooled = 3;
 
-/// Answers the first request of each of its first connections once all of these have asked, and nothing more
-/// on them; connections opened later are answered for good.
+/// Answers only the first request on each of the first `pooled` connections, once all have sent one; later
+/// connections are served normally.
 class stalling_server {
 public:
     stalling_server() : acceptor_(context_, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0))
@@ -74,7 +74,7 @@
         asio::streambuf bytes;
         boost::system::error_code failed;
         for (int request = 0; !failed; ++request) {
-            // The body is a flat JSON object, so that a request ends with its brace.
+            // The request body is a flat JSON object, so a request ends at the first brace.
             const auto size = asio::read_until(socket, bytes, '}', failed);
             bytes.consume(size);
             if (failed || (stalls && request > 0)) {
@@ -101,11 +101,9 @@
     return promise->get_future();
 }
 
-// All pooled connections go silent at once because something between the ends has lost track of them; new
-// connections work. The first call that finds one times out. If the pool were kept, each further call would
-// take the next silent connection and time out as well, once for every connection of the pool. The pool is
-// dropped with the first silence, so the second call is answered.
-TEST(http_channel, drops_its_pool_when_a_pooled_connection_is_silent)
+// Guards against calls that time out on each of the pooled connections in turn, when all of them have stopped
+// responding and only new connections work.
+TEST(http_channel, replaces_pool_when_connection_is_unresponsive)
 {
     stalling_server server;
     event_loop loop;
--- a/tests/wire/silent_peer_tests.cpp
+++ b/tests/wire/silent_peer_tests.cpp
@@ -15,7 +15,7 @@
 
 using boost::asio::ip::tcp;
 
-/// Takes connections and what is sent on them, and never answers.
+/// Accepts connections and never responds.
 class silent_listener {
 public:
     silent_listener() : acceptor_(context_, tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0))
@@ -63,11 +63,9 @@
                                                 target::v1::CallRequest{}, options);
 }
 
-// A connection goes silent for good because something between the ends has lost track of it; new connections
-// work. Without the PING check the caller would wait out its whole timeout, and so would every later call on
-// the same connection. The call ends as in doubt (the peer may have run it), and the next call opens a new
-// connection.
-TEST(peer_channel, gives_up_a_silent_connection_and_opens_another)
+// Guards against calls that wait for their full timeout on an unresponsive connection. The call fails as in
+// doubt, since the peer may have run it, and the next call opens a new connection.
+TEST(peer_channel, reconnects_after_keepalive_timeout)
 {
     silent_listener peer;
     event_loop loop;
