--- a/src/net/internal/service_connection.hpp
+++ b/src/net/internal/service_connection.hpp
@@ -54,7 +54,7 @@
     void abort();
     /// Closes the connection if no byte of a request has been received.
     void close_if_idle();
-    /// Sends `answer` in place of the response of a running handler.
+    /// Sends `answer` in place of the response of a running handler; closes an idle connection.
     void abort_request(const http_response& answer);
     /// False if the request was aborted and its response already sent.
     bool begin_response();
--- a/src/wire/peer_channel.hpp
+++ b/src/wire/peer_channel.hpp
@@ -14,8 +14,7 @@
 struct peer_timing {
     milliseconds connect_timeout{1000};
     milliseconds ping_interval{500};
-    milliseconds keepalive_timeout{
-        1500}; ///< maximum time without received data; then the connection is closed
+    milliseconds keepalive_timeout{1500}; ///< without received data; then the connection is closed
 };
 
 class peer_channel final : public channel {
