--- a/src/base/clock.cpp
+++ b/src/base/clock.cpp
@@ -2,7 +2,7 @@
 
 namespace vanillagauge {
 
-milliseconds remaining(time_point from, time_point to)
+milliseconds milliseconds_between(time_point from, time_point to)
 {
     if (to <= from) {
         return milliseconds{0};
--- a/src/base/clock.hpp
+++ b/src/base/clock.hpp
@@ -13,7 +13,7 @@
 using std::chrono::seconds;
 
 /// Whole milliseconds from `from` to `to`; 0 where `to` lies before `from`.
-milliseconds remaining(time_point from, time_point to);
+milliseconds milliseconds_between(time_point from, time_point to);
 
 } // namespace vanillagauge
 
--- a/src/entry/claim_calls.cpp
+++ b/src/entry/claim_calls.cpp
@@ -28,7 +28,7 @@
 
 milliseconds time_left(time_point deadline)
 {
-    return remaining(steady::now(), deadline) - reply_margin;
+    return milliseconds_between(steady::now(), deadline) - reply_margin;
 }
 
 v1::CallRequest with_deadline(v1::CallRequest request, milliseconds left)
@@ -122,7 +122,7 @@
     if (found == waiting_.end()) {
         return;
     }
-    const auto left = remaining(steady::now(), deadline);
+    const auto left = milliseconds_between(steady::now(), deadline);
     found->second.timer = context_.loop.after(left, [this, who, key] { remove_waiter(key, who); });
 }
 
--- a/src/entry/plain_call.cpp
+++ b/src/entry/plain_call.cpp
@@ -91,7 +91,7 @@
     forward.set_method(request_.method());
     forward.set_body(request_.body());
     wire::call_options options;
-    options.timeout = std::max(milliseconds{1}, remaining(steady::now(), deadline_));
+    options.timeout = std::max(milliseconds{1}, milliseconds_between(steady::now(), deadline_));
     options.trace = span_.context();
     // After one broken connection other pooled ones may be broken too. A new connection to a lost target is
     // refused, which proves that the call did not run.
@@ -122,7 +122,7 @@
 void plain_call::arm_hedge(int number)
 {
     const auto delay = group_->hedge_delay();
-    if (delay >= remaining(steady::now(), deadline_)) {
+    if (delay >= milliseconds_between(steady::now(), deadline_)) {
         return;
     }
     context_.loop.after(delay, [weak = weak_from_this(), number] {
--- a/src/entry/streamed_generate.cpp
+++ b/src/entry/streamed_generate.cpp
@@ -71,7 +71,7 @@
     forward.set_resume_tokens(tokens_);
     next_sequence_ = 0;
     wire::call_options options;
-    options.timeout = std::max(milliseconds{1}, remaining(started_at_, deadline_));
+    options.timeout = std::max(milliseconds{1}, milliseconds_between(started_at_, deadline_));
     options.progress_timeout = progress_timeout;
     options.trace = span_.context();
     options.fresh_connection = attempts_ > 1; // other pooled connections may be broken too
--- a/src/fleet/lease.cpp
+++ b/src/fleet/lease.cpp
@@ -101,7 +101,7 @@
     if (fencing_token_ == 0 || now >= held_until_ || now < effective_from_) {
         return {};
     }
-    return {fencing_token_, remaining(now, held_until_)};
+    return {fencing_token_, milliseconds_between(now, held_until_)};
 }
 
 // A VM that crashed and was replaced under another name leaves its lease behind. With many replacements such
--- a/src/gateway/forwarder.cpp
+++ b/src/gateway/forwarder.cpp
@@ -290,7 +290,7 @@
                   {"replica", outcome.replica},
                   {"attempts", std::int64_t{current.attempts}},
                   {"took_ms", std::int64_t{took.count()}},
-                  {"left_ms", std::int64_t{remaining(steady::now(), current.deadline).count()}},
+                  {"left_ms", std::int64_t{milliseconds_between(steady::now(), current.deadline).count()}},
                   {"outcome", text}});
 }
 
--- a/src/keeper/lease_renewer.cpp
+++ b/src/keeper/lease_renewer.cpp
@@ -40,7 +40,7 @@
 {
     loop_.after(tick_interval, [this] { tick(); });
     const auto members = state_.member_count();
-    store_.share_between(members);
+    store_.set_fleet_size(members);
     const bool begins = [this, members] {
         const std::lock_guard lock(mutex_);
         cycle_.set_timing(fleet::lease_timing_for(members));
@@ -80,12 +80,12 @@
         const std::lock_guard lock(mutex_);
         return cycle_.listed(records, steady::now());
     }();
-    const objects::write change{lease_kind, vm_, to_text(renewal.ttl, state_.self().peer_address),
-                                renewal.expected_version};
+    const objects::object_write change{lease_kind, vm_, to_text(renewal.ttl, state_.self().peer_address),
+                                       renewal.expected_version};
     store_.write_object(
         change,
         [this, change](const objects::write_outcome& outcome) {
-            const auto stored = objects::settled(outcome, change.expected_version);
+            const auto stored = objects::to_result(outcome, change.expected_version);
             if (!ok(stored)) {
                 observe::log(observe::log_level::warning, "lease_not_renewed",
                              {{"detail", failure(stored).detail}});
--- a/src/keeper/local_service.cpp
+++ b/src/keeper/local_service.cpp
@@ -90,12 +90,12 @@
 void local_service::Store(google::protobuf::RpcController* control, const v1::StoreRequest* request,
                           v1::StoreReply* reply, google::protobuf::Closure* done)
 {
-    const objects::write change{request->kind(), request->name(), request->spec_json(),
-                                request->expected_version()};
+    const objects::object_write change{request->kind(), request->name(), request->spec_json(),
+                                       request->expected_version()};
     store_.write_object(
         change,
         [control, reply, done, change](const objects::write_outcome& outcome) {
-            const auto stored = objects::settled(outcome, change.expected_version);
+            const auto stored = objects::to_result(outcome, change.expected_version);
             if (ok(stored)) {
                 reply->set_version(value(stored).version);
             }
--- a/src/keeper/operator_service.cpp
+++ b/src/keeper/operator_service.cpp
@@ -48,11 +48,11 @@
         done->Run();
         return;
     }
-    const objects::write change{wanted.kind(), wanted.name(), spec, wanted.version()};
+    const objects::object_write change{wanted.kind(), wanted.name(), spec, wanted.version()};
     const milliseconds wait{request->wait_ms()};
     store_.write_object(change, [this, control, reply, done, change,
                                  wait](const objects::write_outcome& outcome) {
-        const auto stored = objects::settled(outcome, change.expected_version);
+        const auto stored = objects::to_result(outcome, change.expected_version);
         if (!ok(stored)) {
             wire::controller_of(control).fail(failure(stored));
             done->Run();
@@ -86,14 +86,14 @@
 void operator_service::Delete(google::protobuf::RpcController* control, const v1::DeleteRequest* request,
                               v1::DeleteReply* reply, google::protobuf::Closure* done)
 {
-    const objects::write change{request->kind(), request->name(), "{}", request->version(), true};
+    const objects::object_write change{request->kind(), request->name(), "{}", request->version(), true};
     if (!is_config_kind(request->kind())) {
         wire::controller_of(control).fail(not_found(request->kind(), request->name()));
         done->Run();
         return;
     }
     store_.write_object(change, [this, control, reply, done, change](const objects::write_outcome& outcome) {
-        const auto stored = objects::settled(outcome, change.expected_version);
+        const auto stored = objects::to_result(outcome, change.expected_version);
         if (ok(stored)) {
             state_.merge_config({{change.kind, change.name, value(stored).version, change.value, true}},
                                 config::object_source::store);
@@ -176,9 +176,9 @@
         done->Run();
         return;
     }
-    const objects::write change{"drain", request->vm(), "{}", 0};
+    const objects::object_write change{"drain", request->vm(), "{}", 0};
     store_.write_object(change, [this, control, done, change](const objects::write_outcome& outcome) {
-        const auto stored = objects::settled(outcome, change.expected_version);
+        const auto stored = objects::to_result(outcome, change.expected_version);
         if (ok(stored)) {
             state_.merge_config({{change.kind, change.name, value(stored).version, change.value, false}},
                                 config::object_source::store);
--- a/src/node/convert.cpp
+++ b/src/node/convert.cpp
@@ -90,7 +90,7 @@
     v1::NodeStatus message;
     *message.mutable_info() = to_message(item.info);
     message.set_state(std::string(fleet::name(item.state)));
-    message.set_since_ms(remaining(item.since, steady::now()).count());
+    message.set_since_ms(milliseconds_between(item.since, steady::now()).count());
     return message;
 }
 
--- a/src/node/target_group.cpp
+++ b/src/node/target_group.cpp
@@ -173,7 +173,8 @@
         return;
     }
     timer_armed_ = true;
-    const auto delay = std::max(min_timer_delay, remaining(steady::now(), *next) + min_timer_delay);
+    const auto delay =
+        std::max(min_timer_delay, milliseconds_between(steady::now(), *next) + min_timer_delay);
     loop_->after(delay, [weak = weak_from_this()] {
         const auto self = weak.lock();
         if (!self) {
--- a/src/objects/call_budget.hpp
+++ b/src/objects/call_budget.hpp
@@ -29,7 +29,7 @@
     bool take(call_priority priority, time_point now);
     /// When a call of this priority may be made again.
     milliseconds retry_after(call_priority priority) const;
-    void share_between(std::size_t members) { members_ = members == 0 ? 1 : members; }
+    void set_fleet_size(std::size_t members) { members_ = members == 0 ? 1 : members; }
     double calls_per_second() const;
 
 private:
--- a/src/objects/object_client.cpp
+++ b/src/objects/object_client.cpp
@@ -45,7 +45,7 @@
     return hex(random()) + hex(random());
 }
 
-pb::WriteRequest to_pb(const write& change, const std::string& operation_id)
+pb::WriteRequest to_pb(const object_write& change, const std::string& operation_id)
 {
     pb::WriteRequest request;
     request.set_kind(change.kind);
@@ -108,7 +108,7 @@
 
 } // namespace
 
-result<written> settled(const write_outcome& outcome, std::uint64_t expected_version)
+result<written> to_result(const write_outcome& outcome, std::uint64_t expected_version)
 {
     if (const auto* conflict = std::get_if<write_conflict>(&outcome)) {
         return to_error(*conflict, expected_version);
@@ -140,17 +140,17 @@
 {
     const std::lock_guard lock(mutex_);
     if (answered) {
-        health_.answered(remaining(sent, steady::now()));
+        health_.answered(milliseconds_between(sent, steady::now()));
     }
     else {
         health_.failed();
     }
 }
 
-void object_client::share_between(std::size_t members)
+void object_client::set_fleet_size(std::size_t members)
 {
     const std::lock_guard lock(mutex_);
-    budget_.share_between(members);
+    budget_.set_fleet_size(members);
 }
 
 call_counts object_client::counts() const
@@ -192,7 +192,7 @@
                               });
 }
 
-void object_client::write_object(const write& change, std::function<void(write_outcome)> on_done,
+void object_client::write_object(const object_write& change, std::function<void(write_outcome)> on_done,
                                  call_priority priority)
 {
     if (auto refusal = refused(priority, &call_counts::writes)) {
@@ -224,7 +224,7 @@
 // the lost write can be under way, so it is read again before the outcome is called unknown. A version of
 // somebody else may have been made from ours or in place of ours: both look the same, so neither "conflict,
 // not run" nor "written" would be true.
-void object_client::resolve(const write& change, const std::string& operation_id, int attempts_left,
+void object_client::resolve(const object_write& change, const std::string& operation_id, int attempts_left,
                             std::function<void(write_outcome)> on_done)
 {
     read(
--- a/src/objects/object_client.hpp
+++ b/src/objects/object_client.hpp
@@ -27,7 +27,7 @@
     bool deleted = false;
 };
 
-struct write {
+struct object_write {
     std::string kind;
     std::string name;
     std::string value;
@@ -53,7 +53,7 @@
 using write_outcome = std::variant<written, write_conflict, write_superseded, error>;
 
 /// The version written, or what the caller of the write is told in its place.
-result<written> settled(const write_outcome& outcome, std::uint64_t expected_version);
+result<written> to_result(const write_outcome& outcome, std::uint64_t expected_version);
 
 struct watch_events {
     std::vector<stored_object> objects;
@@ -87,7 +87,7 @@
               call_priority priority = call_priority::config);
     /// An unknown outcome is resolved by reading back the operation id; `in_doubt` or `write_superseded`
     /// where that cannot tell.
-    void write_object(const write& change, std::function<void(write_outcome)> on_done,
+    void write_object(const object_write& change, std::function<void(write_outcome)> on_done,
                       call_priority priority = call_priority::config);
     void list(const std::string& kind, std::function<void(result<listing>)> on_done,
               call_priority priority = call_priority::config);
@@ -96,7 +96,7 @@
                std::function<void(result<watch_events>)> on_done);
 
     /// The fleet's size, which sets this VM's share of the calls.
-    void share_between(std::size_t members);
+    void set_fleet_size(std::size_t members);
     call_counts counts() const;
     store_state health() const;
 
@@ -112,7 +112,7 @@
     std::optional<error> refused(call_priority priority, std::uint64_t call_counts::*counter);
     void note(bool answered, time_point sent);
 
-    void resolve(const write& change, const std::string& operation_id, int attempts_left,
+    void resolve(const object_write& change, const std::string& operation_id, int attempts_left,
                  std::function<void(write_outcome)> on_done);
 };
 
--- a/src/policy/quarantine.cpp
+++ b/src/policy/quarantine.cpp
@@ -144,7 +144,7 @@
     crash_update update{revision_, {}, {}};
     for (const auto& [fingerprint, entry] : records_) {
         if (entry.revision > from && entry.expires > now) {
-            update.suspects.push_back({fingerprint, entry.targets, remaining(now, entry.expires)});
+            update.suspects.push_back({fingerprint, entry.targets, milliseconds_between(now, entry.expires)});
         }
     }
     for (const auto& [fingerprint, entry] : cleared_) {
@@ -163,7 +163,7 @@
     }
     return error{error_code::quarantined, run_state::not_run,
                  "targets lost while running this request: " + std::to_string(found->second.targets.size()),
-                 remaining(now, found->second.expires)};
+                 milliseconds_between(now, found->second.expires)};
 }
 
 std::vector<crash_record> quarantine::records(time_point now) const
--- a/standins/target/engine.cpp
+++ b/standins/target/engine.cpp
@@ -32,7 +32,7 @@
 /// An engine that loads weights makes no tokens; its streams go on afterwards.
 milliseconds engine::loading_left() const
 {
-    return remaining(steady::now(), loading_until_);
+    return milliseconds_between(steady::now(), loading_until_);
 }
 
 void engine::note_load()
--- a/tests/objects/call_budget_tests.cpp
+++ b/tests/objects/call_budget_tests.cpp
@@ -34,7 +34,7 @@
     constexpr std::size_t span = 100;
     for (const std::size_t members : {8U, 350U}) {
         call_budget budget;
-        budget.share_between(members);
+        budget.set_fleet_size(members);
         int made = 0;
         for (std::size_t second = 0; second < span; ++second) {
             made += calls_made(budget, call_priority::lease, start + seconds{second}, 1000);
--- a/tests/objects/object_client_tests.cpp
+++ b/tests/objects/object_client_tests.cpp
@@ -81,7 +81,7 @@
     channel.answers.emplace_back([](const std::string&) { return found_object(7, "another operation"); });
     const auto outcome = write_through(channel, 5);
     ASSERT_TRUE(std::holds_alternative<write_superseded>(outcome));
-    EXPECT_EQ(failure(settled(outcome, 5)).ran, run_state::in_doubt);
+    EXPECT_EQ(failure(to_result(outcome, 5)).ran, run_state::in_doubt);
 }
 
 // The write is still under way when the object is read back first, and takes effect after that.
@@ -110,7 +110,7 @@
     });
     const auto outcome = write_through(channel, 5);
     ASSERT_TRUE(std::holds_alternative<write_conflict>(outcome));
-    EXPECT_EQ(failure(settled(outcome, 5)).ran, run_state::not_run);
+    EXPECT_EQ(failure(to_result(outcome, 5)).ran, run_state::not_run);
 }
 
 } // namespace
--- a/tools/slopes/fleet_probe.cpp
+++ b/tools/slopes/fleet_probe.cpp
@@ -51,7 +51,7 @@
             while (steady::now() - started < longest && !reached(keeper)) {
                 std::this_thread::sleep_for(poll_every);
             }
-            took[keeper] = remaining(started, steady::now());
+            took[keeper] = milliseconds_between(started, steady::now());
         });
     }
     for (auto& poller : pollers) {
