--- a/src/entry/plain_call.cpp
+++ b/src/entry/plain_call.cpp
@@ -41,7 +41,7 @@
       fingerprint_(policy::request_fingerprint(request_.deployment(), request_.method(), request_.body())),
       span_(trace, "entry.call"), on_done_(std::move(on_done))
 {
-    span_.note("request_id", request_.request_id());
+    span_.set_attribute("request_id", request_.request_id());
     work_.caller = request_.caller();
     work_.urgency = policy::parse_priority(request_.priority());
     work_.deadline = deadline;
@@ -80,7 +80,7 @@
         if (group_->limited()) {
             work_.tried.insert(endpoint.id);
         }
-        span_.note("placed", endpoint.id);
+        span_.set_attribute("placed", endpoint.id);
     }
     if (already_finished) {
         group_->release(endpoint.id);
@@ -139,7 +139,7 @@
         if (finished_ || !running_.contains(number) || attempts_ != number) {
             return;
         }
-        span_.note("hedged", running_[number].target);
+        span_.set_attribute("hedged", running_[number].target);
     }
     retry();
 }
@@ -193,7 +193,7 @@
         const std::lock_guard lock(mutex_);
         ran_ = more_certain(ran_, failure.ran);
         last.ran = ran_;
-        span_.note("attempt_failed", describe(failure));
+        span_.set_attribute("attempt_failed", describe(failure));
     }
     if (others_running || (may_retry(failure) && retry())) {
         return;
@@ -217,7 +217,7 @@
         if (std::exchange(finished_, true)) {
             return;
         }
-        span_.note("outcome", ok(outcome) ? "ok" : describe(failure(outcome)));
+        span_.set_attribute("outcome", ok(outcome) ? "ok" : describe(failure(outcome)));
         span_.end();
     }
     cancel_others();
--- a/src/entry/streamed_generate.cpp
+++ b/src/entry/streamed_generate.cpp
@@ -27,7 +27,7 @@
       span_(trace, "entry.generate"), on_chunk_(std::move(chunk)), on_done_(std::move(on_done)),
       fingerprint_(policy::request_fingerprint(request_.deployment(), request_.adapter(), request_.prompt()))
 {
-    span_.note("request_id", request_.request_id());
+    span_.set_attribute("request_id", request_.request_id());
     work_.caller = request_.caller();
     work_.deadline = deadline;
     work_.near_domain = context_.settings.failure_domain;
@@ -59,7 +59,7 @@
     started_at_ = steady::now();
     first_chunk_ = {};
     work_.tried.insert(endpoint.id);
-    span_.note("placed", endpoint.id);
+    span_.set_attribute("placed", endpoint.id);
     target::v1::GenerateRequest forward;
     forward.set_request_id(request_.request_id());
     forward.set_prompt(request_.prompt());
@@ -190,14 +190,14 @@
     if (!endpoint) {
         return false;
     }
-    span_.note("resumed_after", describe(failure));
+    span_.set_attribute("resumed_after", describe(failure));
     launch(*endpoint);
     return true;
 }
 
 void streamed_generate::finish(const result<done>& outcome)
 {
-    span_.note("outcome", ok(outcome) ? "ok" : describe(failure(outcome)));
+    span_.set_attribute("outcome", ok(outcome) ? "ok" : describe(failure(outcome)));
     span_.end();
     on_done_(outcome);
 }
--- a/src/gateway/batch_runner_items.cpp
+++ b/src/gateway/batch_runner_items.cpp
@@ -46,9 +46,9 @@
     run->began = steady::now();
     run->last_event = run->began;
     batch->item_runs[index] = run;
-    observe::span hop(observe::trace_of(batch->progress.header().id), "item_run");
-    hop.note("request_id", batch->progress.items()[index].item.id);
-    hop.note("replica", engine->info.instance_id());
+    observe::span hop(observe::trace_from_id(batch->progress.header().id), "item_run");
+    hop.set_attribute("request_id", batch->progress.items()[index].item.id);
+    hop.set_attribute("replica", engine->info.instance_id());
     auto taken = co_await engine->pool.acquire(steady::now() + connect_timeout);
     if (auto* connection = std::get_if<std::shared_ptr<net::http_connection>>(&taken)) {
         run->connection = *connection;
--- a/src/gateway/forwarder.cpp
+++ b/src/gateway/forwarder.cpp
@@ -86,10 +86,10 @@
     const auto kept = chosen.timeout.count() > 0 ? std::min(allowed, chosen.timeout) : allowed;
     call current{
         chosen, request, nullptr, request.arrived_at + kept,
-        observe::span(observe::parse_traceparent(request.http.fields.find(observe::traceparent_field)),
+        observe::span(observe::parse_traceparent(request.http.fields.find(observe::traceparent_header)),
                       "forward")};
-    current.span.note("request_id", request.attempt_id);
-    current.span.note("route", chosen.name);
+    current.span.set_attribute("request_id", request.attempt_id);
+    current.span.set_attribute("route", chosen.name);
     current.service = pick_service(chosen, std::uniform_real_distribution<double>(0, 1)(random_));
     current.work.id = next_work_++;
     current.work.caller = request.host;
@@ -183,7 +183,7 @@
         else {
             ++current.attempts;
             observe::span attempt_span(current.span.context(), "attempt");
-            attempt_span.note("replica", instance_id);
+            attempt_span.set_attribute("replica", instance_id);
             current.replica = instance_id;
             current.attempt_context = attempt_span.context();
             if (current.chosen.kind == route_kind::stream && !current.internal()) {
@@ -193,7 +193,7 @@
                 outcome = co_await attempt(current, at, attempt_deadline(current, *queue, began));
             }
             outcome.replica = instance_id;
-            attempt_span.note("outcome", outcome.text());
+            attempt_span.set_attribute("outcome", outcome.text());
             current.internal_errors += outcome.internal_error() ? 1 : 0;
             report(*queue, at, outcome, steady::now() - began);
         }
@@ -283,7 +283,7 @@
     const bool good = outcome.succeeded();
     counts_.add(good ? "requests_total{outcome=\"answered\"}" : "requests_total{outcome=\"failed\"}");
     const auto text = outcome.text();
-    current.span.note("outcome", text);
+    current.span.set_attribute("outcome", text);
     observe::log(good ? observe::log_level::info : observe::log_level::warning, "request_ended",
                  {{"request", current.request.attempt_id},
                   {"route", current.chosen.name},
--- a/src/gateway/forwarder_attempts.cpp
+++ b/src/gateway/forwarder_attempts.cpp
@@ -105,8 +105,8 @@
     sent.time_left = milliseconds_between(steady::now(), current.deadline);
     sent.resume_after = current.last_event;
     auto request = protocol_.replica_request(current.request.http, sent);
-    if (request.fields.contains(observe::traceparent_field)) {
-        request.fields.set(observe::traceparent_field, observe::traceparent(current.attempt_context));
+    if (request.fields.contains(observe::traceparent_header)) {
+        request.fields.set(observe::traceparent_header, observe::traceparent(current.attempt_context));
     }
     current.sent_at = steady::now();
     const auto written = co_await connection->send(request, until);
--- a/src/node/program.cpp
+++ b/src/node/program.cpp
@@ -54,7 +54,7 @@
 } // namespace
 
 std::variant<config::settings, exit_now> start(const std::string& program, int argc, char** argv,
-                                               observe::log_target target)
+                                               observe::log_sink sink)
 {
     // Before anything else: SIGHUP while the settings are read would terminate the program.
     block_stop_signals();
@@ -73,8 +73,8 @@
         return exit_now{exit_success};
     }
     auto& settings = value(loaded);
-    observe::start_log(program, settings.vm, to_level(settings.log_level), target);
-    observe::start_spans(settings.span_file, program, settings.vm);
+    observe::start_log(program, settings.vm, to_level(settings.log_level), sink);
+    observe::open_span_file(settings.span_file, program, settings.vm);
     wire::set_http_threads(static_cast<std::size_t>(settings.http_threads));
     return std::move(settings);
 }
--- a/src/node/program.hpp
+++ b/src/node/program.hpp
@@ -31,9 +31,8 @@
 
 /// Reads the command line and the settings, then starts logging and tracing. Blocks SIGTERM, SIGINT and
 /// SIGHUP for this thread and those it creates, so call it before any thread starts.
-std::variant<config::settings, exit_now>
-start(const std::string& program, int argc, char** argv,
-      observe::log_target target = observe::log_target::standard_error);
+std::variant<config::settings, exit_now> start(const std::string& program, int argc, char** argv,
+                                               observe::log_sink sink = observe::log_sink::standard_error);
 
 /// The project's version, from the build.
 const char* version();
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -94,7 +94,7 @@
 
 } // namespace
 
-void start_log(std::string_view program, std::string_view vm, log_level least, log_target target)
+void start_log(std::string_view program, std::string_view vm, log_level least, log_sink sink)
 {
     auto& fields = fixed_fields();
     fields = ",\"program\":";
@@ -102,7 +102,7 @@
     fields += ",\"vm\":";
     fields += json_text(vm);
     auto layout = std::make_shared<log4cxx::PatternLayout>("%m%n");
-    if (target == log_target::standard_output) {
+    if (sink == log_sink::standard_output) {
         logger()->addAppender(std::make_shared<queue_appender>(layout));
     }
     else {
--- a/src/observe/log.hpp
+++ b/src/observe/log.hpp
@@ -17,7 +17,7 @@
     std::variant<std::int64_t, double, std::string> value;
 };
 
-enum class log_target {
+enum class log_sink {
     standard_error,
     /// Through a bounded queue: a reader that takes nothing costs lines, never time.
     standard_output,
@@ -25,7 +25,7 @@
 
 /// Starts the log of this process. Call once, before other threads start.
 void start_log(std::string_view program, std::string_view vm, log_level least,
-               log_target target = log_target::standard_error);
+               log_sink sink = log_sink::standard_error);
 
 /// Writes one event. An event's name, level and field names are constants of the code.
 void log(log_level level, std::string_view event, std::initializer_list<log_field> fields = {});
--- a/src/observe/trace.cpp
+++ b/src/observe/trace.cpp
@@ -55,7 +55,7 @@
     return {hex(random_bits()) + hex(random_bits()), std::string()};
 }
 
-trace_context trace_of(std::string_view id)
+trace_context trace_from_id(std::string_view id)
 {
     return {hex(hash64(id, 0)) + hex(hash64(id, 1)), std::string()};
 }
@@ -80,7 +80,7 @@
     return "00-" + context.trace_id + "-" + span_id + "-01";
 }
 
-void start_spans(const std::string& path, std::string_view program, std::string_view vm)
+void open_span_file(const std::string& path, std::string_view program, std::string_view vm)
 {
     if (path.empty()) {
         return;
@@ -110,7 +110,7 @@
     end();
 }
 
-void span::note(std::string_view key, std::string_view value)
+void span::set_attribute(std::string_view key, std::string_view value)
 {
     if (file().out.is_open()) {
         attributes_.emplace_back(key, value);
--- a/src/observe/trace.hpp
+++ b/src/observe/trace.hpp
@@ -20,16 +20,16 @@
 trace_context new_trace();
 
 /// The trace of what bears this id: the same in every program.
-trace_context trace_of(std::string_view id);
+trace_context trace_from_id(std::string_view id);
 
 /// The context a traceparent header carries; a new trace where the header is absent or malformed.
 trace_context parse_traceparent(std::string_view header);
 std::string traceparent(const trace_context& context);
 /// The field of a request that carries it.
-constexpr const char* traceparent_field = "traceparent";
+constexpr const char* traceparent_header = "traceparent";
 
 /// Names the file that spans are appended to; an empty path turns them off. Call once at start.
-void start_spans(const std::string& path, std::string_view program, std::string_view vm);
+void open_span_file(const std::string& path, std::string_view program, std::string_view vm);
 
 /// One hop: from construction to destruction, unless ended before.
 class span {
@@ -44,7 +44,7 @@
 
     const trace_context& context() const { return context_; }
     /// Records a decision or an outcome on the hop.
-    void note(std::string_view key, std::string_view value);
+    void set_attribute(std::string_view key, std::string_view value);
     void end();
 
 private:
--- a/src/rollout/scoring.cpp
+++ b/src/rollout/scoring.cpp
@@ -32,7 +32,7 @@
     wire::call_options options;
     options.timeout = score_timeout;
     options.trace = span_.context();
-    span_.note("placed", slot->id);
+    span_.set_attribute("placed", slot->id);
     wire::call<target::v1::ScoreReply>(
         *context_.targets.at(slot->address), wire::method<target::v1::PlainService>("Score"), request,
         options,
--- a/src/rollout/scoring.hpp
+++ b/src/rollout/scoring.hpp
@@ -29,7 +29,7 @@
         : context_(shared), request_(std::move(request)), on_done_(std::move(on_done)),
           span_(observe::new_trace(), "rollout.score")
     {
-        span_.note("request_id", request_.sample_id);
+        span_.set_attribute("request_id", request_.sample_id);
     }
 
     void start();
--- a/src/rollout/slot_generation.cpp
+++ b/src/rollout/slot_generation.cpp
@@ -15,7 +15,7 @@
     : context_(shared), request_(std::move(request)), on_chunk_(std::move(on_chunk)),
       on_end_(std::move(on_end)), check_(request_.request_id), span_(observe::new_trace(), "rollout.generate")
 {
-    span_.note("request_id", request_.request_id);
+    span_.set_attribute("request_id", request_.request_id);
 }
 
 void slot_generation::start(const std::string& engine_address)
@@ -30,7 +30,7 @@
     options.timeout = request_.deadline;
     options.progress_timeout = progress_timeout;
     options.trace = span_.context();
-    span_.note("engine", engine_address);
+    span_.set_attribute("engine", engine_address);
     auto self = shared_from_this();
     auto stop = wire::stream<target::v1::GenerateChunk>(
         *context_.targets.at(engine_address), wire::method<target::v1::Engine>("Generate"), forward, options,
@@ -96,7 +96,7 @@
 
 void slot_generation::on_stream_end(const result<done>& outcome)
 {
-    span_.note("outcome", ok(outcome) ? "ok" : describe(failure(outcome)));
+    span_.set_attribute("outcome", ok(outcome) ? "ok" : describe(failure(outcome)));
     span_.end();
     switch (check_.verdict()) {
     case samples::chunk_verdict::mismatched:
--- a/src/rollout/weight_rollout.cpp
+++ b/src/rollout/weight_rollout.cpp
@@ -190,15 +190,15 @@
     wire::call_options options;
     options.timeout = max_order_time;
     auto span = std::make_shared<observe::span>(observe::new_trace(), "rollout.order");
-    span->note("engine", engine);
-    span->note("version", std::to_string(version));
-    span->note("fencing", std::to_string(*number));
+    span->set_attribute("engine", engine);
+    span->set_attribute("version", std::to_string(version));
+    span->set_attribute("fencing", std::to_string(*number));
     options.trace = span->context();
     wire::call<target::v1::OrderReply>(
         *context_.targets.at(*address), wire::method<target::v1::Engine>("Order"), request, options,
         [self = shared_from_this(), deployment, engines, engine, fence,
          span](const result<target::v1::OrderReply>& reply) {
-            span->note("outcome", ok(reply) ? value(reply).detail() : describe(failure(reply)));
+            span->set_attribute("outcome", ok(reply) ? value(reply).detail() : describe(failure(reply)));
             span->end();
             if (!ok(reply)) {
                 self->on_ordered(deployment, engines, engine, describe(failure(reply)), std::nullopt);
--- a/src/wire/dispatcher.cpp
+++ b/src/wire/dispatcher.cpp
@@ -25,7 +25,7 @@
     const std::unique_ptr<running_call> call(raw);
     if (call->span) {
         const auto& failed = call->control->failure();
-        call->span->note("outcome", failed ? describe(*failed) : "ok");
+        call->span->set_attribute("outcome", failed ? describe(*failed) : "ok");
         call->span.reset();
     }
     if (call->control->failure()) {
--- a/standins/target/main.cpp
+++ b/standins/target/main.cpp
@@ -34,7 +34,7 @@
     }
     node::block_stop_signals();
     wire::set_http_threads(4);
-    observe::start_spans(spans.getValue(), "vg-fake-target", "");
+    observe::open_span_file(spans.getValue(), "vg-fake-target", "");
 
     wire::event_loop loop;
     standins::fault_state faults;
--- a/tests/gateway/forwarding_tests.cpp
+++ b/tests/gateway/forwarding_tests.cpp
@@ -318,7 +318,7 @@
 {
     const auto path = testing::TempDir() + "vg-gateway-spans-" + std::to_string(getpid());
     const std::string trace(32, 'a');
-    observe::start_spans(path, "vg-gateway", "a");
+    observe::open_span_file(path, "vg-gateway", "a");
     one_gateway all;
     auto request = make_request("/once/1", "traced");
     request.fields.add("traceparent", "00-" + trace + "-" + std::string(16, 'b') + "-01");
