--- a/src/base/digest.cpp
+++ b/src/base/digest.cpp
@@ -18,8 +18,8 @@
 {
     constexpr std::string_view digits = "0123456789abcdef";
     std::string text(16, '0');
-    for (std::size_t place = text.size(); place-- > 0; value >>= 4U) {
-        text[place] = digits[value & 0xFU];
+    for (std::size_t index = text.size(); index-- > 0; value >>= 4U) {
+        text[index] = digits[value & 0xFU];
     }
     return text;
 }
--- a/src/base/error.cpp
+++ b/src/base/error.cpp
@@ -32,8 +32,8 @@
 
 std::string_view name(error_code code)
 {
-    for (const auto& [known, text] : code_names) {
-        if (known == code) {
+    for (const auto& [entry, text] : code_names) {
+        if (entry == code) {
             return text;
         }
     }
@@ -55,8 +55,8 @@
 
 error_code parse_error_code(std::string_view text)
 {
-    for (const auto& [code, known] : code_names) {
-        if (known == text) {
+    for (const auto& [code, entry] : code_names) {
+        if (entry == text) {
             return code;
         }
     }
--- a/src/objects/call_budget.cpp
+++ b/src/objects/call_budget.cpp
@@ -7,27 +7,27 @@
 
 double call_budget::calls_per_second() const
 {
-    return std::clamp(limits_.fleet_calls_per_second / static_cast<double>(members_),
-                      limits_.least_calls_per_second, limits_.most_calls_per_second);
+    return std::clamp(limits_.fleet_calls_per_second / static_cast<double>(fleet_size_),
+                      limits_.min_calls_per_second, limits_.max_calls_per_second);
 }
 
 // After an outage every program has something to write. Whoever writes first would take the calls that the
 // leases need, and owners would lose their leases to a flood of status. So the last calls are kept for
 // leases, and a part for the configuration.
-double call_budget::kept_from(call_priority priority) const
+double call_budget::reserved_above(call_priority priority) const
 {
     switch (priority) {
     case call_priority::lease:
         return 0;
     case call_priority::config:
-        return limits_.kept_for_leases;
+        return limits_.lease_reserve;
     case call_priority::status:
         break;
     }
-    return limits_.kept_for_config_and_leases;
+    return limits_.config_reserve;
 }
 
-bool call_budget::take(call_priority priority, time_point now)
+bool call_budget::try_acquire(call_priority priority, time_point now)
 {
     if (refilled_ == time_point{}) {
         refilled_ = now;
@@ -35,7 +35,7 @@
     const std::chrono::duration<double> passed = now - refilled_;
     refilled_ = now;
     tokens_ = std::min(limits_.burst, tokens_ + passed.count() * calls_per_second());
-    if (tokens_ < kept_from(priority) + 1) {
+    if (tokens_ < reserved_above(priority) + 1) {
         return false;
     }
     tokens_ -= 1;
@@ -44,7 +44,7 @@
 
 milliseconds call_budget::retry_after(call_priority priority) const
 {
-    const double missing = kept_from(priority) + 1 - tokens_;
+    const double missing = reserved_above(priority) + 1 - tokens_;
     return milliseconds{
         static_cast<std::int64_t>(std::ceil(std::max(0.0, missing) / calls_per_second() * 1000))};
 }
--- a/src/objects/call_budget.hpp
+++ b/src/objects/call_budget.hpp
@@ -14,11 +14,11 @@
 
 struct budget_limits {
     double fleet_calls_per_second = 200; ///< all VMs together, a third of the writes that the store takes
-    double most_calls_per_second = 25;   ///< of one VM in a small fleet
-    double least_calls_per_second = 1;   ///< of one VM in a large fleet
+    double max_calls_per_second = 25;    ///< of one VM in a small fleet
+    double min_calls_per_second = 1;     ///< of one VM in a large fleet
     double burst = 20;
-    double kept_for_leases = 4;             ///< calls that only leases may use
-    double kept_for_config_and_leases = 10; ///< calls that status may not use
+    double lease_reserve = 4;   ///< calls that only leases may use
+    double config_reserve = 10; ///< calls that status may not use
 };
 
 class call_budget {
@@ -26,19 +26,19 @@
     explicit call_budget(budget_limits limits = {}) : limits_(limits), tokens_(limits.burst) {}
 
     /// Takes one call; false where it must not be made now.
-    bool take(call_priority priority, time_point now);
+    bool try_acquire(call_priority priority, time_point now);
     /// When a call of this priority may be made again.
     milliseconds retry_after(call_priority priority) const;
-    void set_fleet_size(std::size_t members) { members_ = members == 0 ? 1 : members; }
+    void set_fleet_size(std::size_t vms) { fleet_size_ = vms == 0 ? 1 : vms; }
     double calls_per_second() const;
 
 private:
     budget_limits limits_;
-    std::size_t members_ = 1;
+    std::size_t fleet_size_ = 1;
     double tokens_;
     time_point refilled_{};
 
-    double kept_from(call_priority priority) const;
+    double reserved_above(call_priority priority) const;
 };
 
 } // namespace vanillagauge::objects
--- a/src/objects/object_client.cpp
+++ b/src/objects/object_client.cpp
@@ -14,7 +14,7 @@
 
 constexpr milliseconds call_timeout{2000};
 constexpr milliseconds watch_slack{2000};
-constexpr milliseconds read_back_pause{200};
+constexpr milliseconds read_back_delay{200};
 constexpr int read_back_attempts = 5;
 
 wire::call_options options(milliseconds timeout)
@@ -87,23 +87,24 @@
 error to_error(const write_conflict& conflict, std::uint64_t expected_version)
 {
     const auto& current = conflict.current;
-    const std::string wanted = expected_version == 0 ? "none" : "version " + std::to_string(expected_version);
-    error refused{error_code::conflict, run_state::not_run,
-                  "expected " + wanted + " of " + current.kind + "/" + current.name + ", found " +
+    const std::string expected =
+        expected_version == 0 ? "none" : "version " + std::to_string(expected_version);
+    error failure{error_code::conflict, run_state::not_run,
+                  "expected " + expected + " of " + current.kind + "/" + current.name + ", found " +
                       version_text(current)};
-    refused.current = to_json(current);
-    return refused;
+    failure.current = to_json(current);
+    return failure;
 }
 
 error to_error(const write_superseded& superseded)
 {
     const auto& current = superseded.current;
-    error refused{error_code::conflict, run_state::in_doubt,
+    error failure{error_code::conflict, run_state::in_doubt,
                   "the reply to the write of " + current.kind + "/" + current.name + " was lost, and " +
                       version_text(current) +
                       " of somebody else stands now: it may have replaced this change"};
-    refused.current = to_json(current);
-    return refused;
+    failure.current = to_json(current);
+    return failure;
 }
 
 } // namespace
@@ -122,12 +123,15 @@
     return std::get<written>(outcome);
 }
 
-object_client::object_client(wire::channel& link, wire::event_loop& loop) : link_(link), loop_(loop) {}
+object_client::object_client(wire::channel& channel, wire::event_loop& loop) : channel_(channel), loop_(loop)
+{
+}
 
-std::optional<error> object_client::refused(call_priority priority, std::uint64_t call_counts::*counter)
+std::optional<error> object_client::acquire_budget(call_priority priority,
+                                                   std::uint64_t call_counts::*counter)
 {
     const std::lock_guard lock(mutex_);
-    if (budget_.take(priority, steady::now())) {
+    if (budget_.try_acquire(priority, steady::now())) {
         ++(counts_.*counter);
         return std::nullopt;
     }
@@ -136,21 +140,21 @@
                  "this VM's share of the platform's calls is used up", budget_.retry_after(priority)};
 }
 
-void object_client::note(bool answered, time_point sent)
+void object_client::record_health(bool answered, time_point sent)
 {
     const std::lock_guard lock(mutex_);
     if (answered) {
-        health_.answered(milliseconds_between(sent, steady::now()));
+        health_.record_response(milliseconds_between(sent, steady::now()));
     }
     else {
-        health_.failed();
+        health_.record_failure();
     }
 }
 
-void object_client::set_fleet_size(std::size_t members)
+void object_client::set_fleet_size(std::size_t vms)
 {
     const std::lock_guard lock(mutex_);
-    budget_.set_fleet_size(members);
+    budget_.set_fleet_size(vms);
 }
 
 call_counts object_client::counts() const
@@ -169,17 +173,17 @@
                          std::function<void(result<std::optional<stored_object>>)> on_done,
                          call_priority priority)
 {
-    if (auto refusal = refused(priority, &call_counts::reads)) {
-        on_done(std::move(*refusal));
+    if (auto over_budget = acquire_budget(priority, &call_counts::reads)) {
+        on_done(std::move(*over_budget));
         return;
     }
     const auto sent = steady::now();
     pb::ReadRequest request;
     request.set_kind(kind);
     request.set_name(name);
-    wire::call<pb::ReadReply>(link_, wire::method<pb::ObjectApi>("Read"), request, options(call_timeout),
+    wire::call<pb::ReadReply>(channel_, wire::method<pb::ObjectApi>("Read"), request, options(call_timeout),
                               [this, sent, on_done = std::move(on_done)](const result<pb::ReadReply>& reply) {
-                                  note(ok(reply), sent);
+                                  record_health(ok(reply), sent);
                                   if (!ok(reply)) {
                                       on_done(failure(reply));
                                       return;
@@ -195,17 +199,17 @@
 void object_client::write_object(const object_write& change, std::function<void(write_outcome)> on_done,
                                  call_priority priority)
 {
-    if (auto refusal = refused(priority, &call_counts::writes)) {
-        on_done(std::move(*refusal));
+    if (auto over_budget = acquire_budget(priority, &call_counts::writes)) {
+        on_done(std::move(*over_budget));
         return;
     }
     const auto sent = steady::now();
     const std::string operation_id = new_operation_id();
-    wire::call<pb::WriteReply>(link_, wire::method<pb::ObjectApi>("Write"), to_pb(change, operation_id),
+    wire::call<pb::WriteReply>(channel_, wire::method<pb::ObjectApi>("Write"), to_pb(change, operation_id),
                                options(call_timeout),
                                [this, sent, change, operation_id,
                                 on_done = std::move(on_done)](const result<pb::WriteReply>& reply) mutable {
-                                   note(ok(reply), sent);
+                                   record_health(ok(reply), sent);
                                    if (ok(reply)) {
                                        on_done(outcome_of(value(reply)));
                                        return;
@@ -214,7 +218,7 @@
                                        on_done(failure(reply));
                                        return;
                                    }
-                                   resolve(change, operation_id, read_back_attempts, std::move(on_done));
+                                   read_back(change, operation_id, read_back_attempts, std::move(on_done));
                                });
 }
 
@@ -224,8 +228,8 @@
 // the lost write can be under way, so it is read again before the outcome is called unknown. A version of
 // somebody else may have been made from ours or in place of ours: both look the same, so neither "conflict,
 // not run" nor "written" would be true.
-void object_client::resolve(const object_write& change, const std::string& operation_id, int attempts_left,
-                            std::function<void(write_outcome)> on_done)
+void object_client::read_back(const object_write& change, const std::string& operation_id, int attempts_left,
+                              std::function<void(write_outcome)> on_done)
 {
     read(
         change.kind, change.name,
@@ -249,9 +253,9 @@
                                   change.name + " took effect"});
                 return;
             }
-            loop_.after(read_back_pause,
+            loop_.after(read_back_delay,
                         [this, change, operation_id, attempts_left, on_done = std::move(on_done)]() mutable {
-                            resolve(change, operation_id, attempts_left - 1, std::move(on_done));
+                            read_back(change, operation_id, attempts_left - 1, std::move(on_done));
                         });
         },
         call_priority::lease);
@@ -260,16 +264,16 @@
 void object_client::list(const std::string& kind, std::function<void(result<listing>)> on_done,
                          call_priority priority)
 {
-    if (auto refusal = refused(priority, &call_counts::lists)) {
-        on_done(std::move(*refusal));
+    if (auto over_budget = acquire_budget(priority, &call_counts::lists)) {
+        on_done(std::move(*over_budget));
         return;
     }
     const auto sent = steady::now();
     pb::ListRequest request;
     request.set_kind(kind);
-    wire::call<pb::ListReply>(link_, wire::method<pb::ObjectApi>("List"), request, options(call_timeout),
+    wire::call<pb::ListReply>(channel_, wire::method<pb::ObjectApi>("List"), request, options(call_timeout),
                               [this, sent, on_done = std::move(on_done)](const result<pb::ListReply>& reply) {
-                                  note(ok(reply), sent);
+                                  record_health(ok(reply), sent);
                                   if (!ok(reply)) {
                                       on_done(failure(reply));
                                       return;
@@ -281,8 +285,8 @@
 void object_client::watch(const std::vector<std::string>& kinds, std::uint64_t since, milliseconds wait,
                           std::function<void(result<watch_events>)> on_done)
 {
-    if (auto refusal = refused(call_priority::config, &call_counts::watches)) {
-        on_done(std::move(*refusal));
+    if (auto over_budget = acquire_budget(call_priority::config, &call_counts::watches)) {
+        on_done(std::move(*over_budget));
         return;
     }
     pb::WatchRequest request;
@@ -291,7 +295,7 @@
     }
     request.set_since_revision(since);
     request.set_wait_ms(wait.count());
-    wire::call<pb::WatchReply>(link_, wire::method<pb::ObjectApi>("Watch"), request,
+    wire::call<pb::WatchReply>(channel_, wire::method<pb::ObjectApi>("Watch"), request,
                                options(wait + watch_slack),
                                [on_done = std::move(on_done)](const result<pb::WatchReply>& reply) {
                                    if (!ok(reply)) {
--- a/src/objects/object_client.hpp
+++ b/src/objects/object_client.hpp
@@ -78,7 +78,7 @@
 class object_client {
 public:
     /// Both must outlive the client and its calls.
-    object_client(wire::channel& link, wire::event_loop& loop);
+    object_client(wire::channel& channel, wire::event_loop& loop);
 
     /// Each call has a priority in the VM's budget; one beyond it is refused at once, not run, with the time
     /// to come back.
@@ -96,12 +96,12 @@
                std::function<void(result<watch_events>)> on_done);
 
     /// The fleet's size, which sets this VM's share of the calls.
-    void set_fleet_size(std::size_t members);
+    void set_fleet_size(std::size_t vms);
     call_counts counts() const;
     store_state health() const;
 
 private:
-    wire::channel& link_;
+    wire::channel& channel_;
     wire::event_loop& loop_;
     mutable std::mutex mutex_;
     call_budget budget_;
@@ -109,11 +109,11 @@
     call_counts counts_;
 
     /// The refusal, where the call is beyond the budget; otherwise the call is counted.
-    std::optional<error> refused(call_priority priority, std::uint64_t call_counts::*counter);
-    void note(bool answered, time_point sent);
+    std::optional<error> acquire_budget(call_priority priority, std::uint64_t call_counts::*counter);
+    void record_health(bool answered, time_point sent);
 
-    void resolve(const object_write& change, const std::string& operation_id, int attempts_left,
-                 std::function<void(write_outcome)> on_done);
+    void read_back(const object_write& change, const std::string& operation_id, int attempts_left,
+                   std::function<void(write_outcome)> on_done);
 };
 
 } // namespace vanillagauge::objects
--- a/src/objects/store_health.cpp
+++ b/src/objects/store_health.cpp
@@ -4,10 +4,10 @@
 namespace {
 
 /// The store answers in milliseconds; at a hundred times that, operators should know before anything fails.
-constexpr milliseconds slow_answer{500};
+constexpr milliseconds slow_latency{500};
 /// One lost call is no outage. Calls come every few seconds, so three take at most some ten seconds.
 constexpr int outage_failures = 3;
-constexpr int memory = 4;
+constexpr int mean_window = 4;
 
 } // namespace
 
@@ -24,24 +24,24 @@
     return "down";
 }
 
-void store_health::answered(milliseconds took)
+void store_health::record_response(milliseconds latency)
 {
-    usual_ = heard_ ? (usual_ * (memory - 1) + took) / memory : took;
-    heard_ = true;
+    mean_latency_ = has_response_ ? (mean_latency_ * (mean_window - 1) + latency) / mean_window : latency;
+    has_response_ = true;
     failures_ = 0;
 }
 
-void store_health::failed()
+void store_health::record_failure()
 {
     ++failures_;
 }
 
 store_state store_health::state() const
 {
-    if (!heard_ || failures_ >= outage_failures) {
+    if (!has_response_ || failures_ >= outage_failures) {
         return store_state::down;
     }
-    return failures_ > 0 || usual_ >= slow_answer ? store_state::slow : store_state::up;
+    return failures_ > 0 || mean_latency_ >= slow_latency ? store_state::slow : store_state::up;
 }
 
 } // namespace vanillagauge::objects
--- a/src/objects/store_health.hpp
+++ b/src/objects/store_health.hpp
@@ -12,14 +12,14 @@
 
 class store_health {
 public:
-    void answered(milliseconds took);
-    void failed();
+    void record_response(milliseconds latency);
+    void record_failure();
     store_state state() const;
 
 private:
-    milliseconds usual_{0}; ///< a moving mean of the answers' times
-    int failures_ = 0;      ///< since the last answer
-    bool heard_ = false;
+    milliseconds mean_latency_{0}; ///< a moving mean of the answers' times
+    int failures_ = 0;             ///< since the last answer
+    bool has_response_ = false;
 };
 
 } // namespace vanillagauge::objects
--- a/src/observe/internal/line_queue.cpp
+++ b/src/observe/internal/line_queue.cpp
@@ -10,12 +10,12 @@
 namespace {
 
 /// How often a writer whose reader takes nothing looks whether the program ends.
-constexpr int look_every_ms = 100;
+constexpr int poll_interval_ms = 100;
 
 } // namespace
 
-line_queue::line_queue(int descriptor, std::size_t most_bytes)
-    : descriptor_(descriptor), most_bytes_(most_bytes), writer_([this] { write_all(); })
+line_queue::line_queue(int descriptor, std::size_t max_bytes)
+    : descriptor_(descriptor), max_bytes_(max_bytes), writer_([this] { run_writer(); })
 {
 }
 
@@ -35,7 +35,7 @@
 {
     {
         const std::lock_guard lock(mutex_);
-        if (bytes_ + line.size() > most_bytes_) {
+        if (bytes_ + line.size() > max_bytes_) {
             ++dropped_;
             return;
         }
@@ -51,7 +51,7 @@
     return dropped_;
 }
 
-std::string line_queue::take()
+std::string line_queue::pop()
 {
     std::unique_lock lock(mutex_);
     changed_.wait(lock, [this] { return stopping_ || !lines_.empty(); });
@@ -59,10 +59,10 @@
         return {};
     }
     std::string text;
-    if (dropped_ > told_) {
+    if (dropped_ > reported_dropped_) {
         text = R"({"level":"warning","event":"log_lines_dropped","lines":)" +
-               std::to_string(dropped_ - told_) + "}\n";
-        told_ = dropped_;
+               std::to_string(dropped_ - reported_dropped_) + "}\n";
+        reported_dropped_ = dropped_;
     }
     text += lines_.front();
     bytes_ -= lines_.front().size();
@@ -75,7 +75,7 @@
     std::size_t written = 0;
     while (written < line.size()) {
         pollfd ready{descriptor_, POLLOUT, 0};
-        if (::poll(&ready, 1, look_every_ms) <= 0) {
+        if (::poll(&ready, 1, poll_interval_ms) <= 0) {
             const std::lock_guard lock(mutex_);
             if (stopping_) {
                 return false;
@@ -83,8 +83,8 @@
             continue;
         }
         // No more than a pipe takes without waiting once it is writable.
-        constexpr std::size_t most_at_once = 4096;
-        const auto size = std::min(line.size() - written, most_at_once);
+        constexpr std::size_t max_write_bytes = 4096;
+        const auto size = std::min(line.size() - written, max_write_bytes);
         const auto count = ::write(descriptor_, line.data() + written, size);
         if (count < 0 && errno != EINTR && errno != EAGAIN) {
             return true; // nobody reads any more: the line is lost
@@ -94,10 +94,10 @@
     return true;
 }
 
-void line_queue::write_all()
+void line_queue::run_writer()
 {
     while (true) {
-        const auto line = take();
+        const auto line = pop();
         if (line.empty() || !write_line(line)) {
             return;
         }
--- a/src/observe/internal/line_queue.hpp
+++ b/src/observe/internal/line_queue.hpp
@@ -14,7 +14,7 @@
 class line_queue {
 public:
     /// Keeps at most `most_bytes` that are not written yet.
-    line_queue(int descriptor, std::size_t most_bytes);
+    line_queue(int descriptor, std::size_t max_bytes);
     /// Writes what the reader still takes within a moment; the rest is lost.
     ~line_queue();
     line_queue(const line_queue&) = delete;
@@ -26,18 +26,18 @@
 
 private:
     int descriptor_;
-    std::size_t most_bytes_;
+    std::size_t max_bytes_;
     mutable std::mutex mutex_;
     std::condition_variable changed_;
     std::deque<std::string> lines_;
     std::size_t bytes_ = 0;
     std::uint64_t dropped_ = 0;
-    std::uint64_t told_ = 0; ///< of the dropped lines, how many a written line has told of
+    std::uint64_t reported_dropped_ = 0; ///< of the dropped lines, how many a written line has told of
     bool stopping_ = false;
     std::thread writer_;
 
-    void write_all();
-    std::string take();
+    void run_writer();
+    std::string pop();
     bool write_line(const std::string& line);
 };
 
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -30,7 +30,7 @@
 }
 
 /// Some two thousand lines: what a busy gateway writes in ten seconds.
-constexpr std::size_t most_queued_bytes = 512U << 10U;
+constexpr std::size_t max_queued_bytes = 512U << 10U;
 
 class queue_writer final : public log4cxx::helpers::Writer {
 public:
@@ -42,7 +42,7 @@
     void close(log4cxx::helpers::Pool& /*pool*/) override {}
 
 private:
-    internal::line_queue lines_{STDOUT_FILENO, most_queued_bytes};
+    internal::line_queue lines_{STDOUT_FILENO, max_queued_bytes};
 };
 
 class queue_appender final : public log4cxx::WriterAppender {
@@ -94,7 +94,7 @@
 
 } // namespace
 
-void start_log(std::string_view program, std::string_view vm, log_level least, log_sink sink)
+void start_log(std::string_view program, std::string_view vm, log_level min_level, log_sink sink)
 {
     auto& fields = fixed_fields();
     fields = ",\"program\":";
@@ -109,7 +109,7 @@
         logger()->addAppender(std::make_shared<log4cxx::ConsoleAppender>(layout, "System.err"));
     }
     logger()->setAdditivity(false);
-    logger()->setLevel(to_level(least));
+    logger()->setLevel(to_level(min_level));
 }
 
 void log(log_level level, std::string_view event, std::initializer_list<log_field> fields)
@@ -132,8 +132,8 @@
         if (const auto* text = std::get_if<std::string>(&field.value)) {
             line += json_text(*text);
         }
-        else if (const auto* whole = std::get_if<std::int64_t>(&field.value)) {
-            line += std::to_string(*whole);
+        else if (const auto* integer = std::get_if<std::int64_t>(&field.value)) {
+            line += std::to_string(*integer);
         }
         else {
             line += std::to_string(std::get<double>(field.value));
--- a/src/observe/log.hpp
+++ b/src/observe/log.hpp
@@ -24,7 +24,7 @@
 };
 
 /// Starts the log of this process. Call once, before other threads start.
-void start_log(std::string_view program, std::string_view vm, log_level least,
+void start_log(std::string_view program, std::string_view vm, log_level min_level,
                log_sink sink = log_sink::standard_error);
 
 /// Writes one event. An event's name, level and field names are constants of the code.
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -59,9 +59,9 @@
 void append(families& page, const std::string& name, const char* type, const std::string& series,
             Number number)
 {
-    auto& into = page[name];
-    into.type = type;
-    into.lines += series + ' ' + std::to_string(number) + '\n';
+    auto& entry = page[name];
+    entry.type = type;
+    entry.lines += series + ' ' + std::to_string(number) + '\n';
 }
 
 std::string in_braces(const std::string& labels)
@@ -69,18 +69,18 @@
     return labels.empty() ? "" : "{" + labels + "}";
 }
 
-void append_distribution(families& page, const std::string& series, const distribution& spread)
+void append_distribution(families& page, const std::string& series, const distribution& samples)
 {
     const auto [base, labels] = split(series);
     const std::string prefix = labels.empty() ? "" : labels + ",";
     for (const double quantile : quantile_grid()) {
-        const double estimate = acc::quantile(spread, acc::quantile_probability = quantile);
+        const double estimate = acc::quantile(samples, acc::quantile_probability = quantile);
         const auto label = nlohmann::json(quantile).dump();
         append(page, base, "summary", base + in_braces(prefix + "quantile=\"" + label + "\""), estimate);
     }
-    append(page, base, "summary", base + "_sum" + in_braces(labels), acc::sum(spread));
-    append(page, base, "summary", base + "_count" + in_braces(labels), acc::count(spread));
-    append(page, base + "_max", "gauge", base + "_max" + in_braces(labels), acc::max(spread));
+    append(page, base, "summary", base + "_sum" + in_braces(labels), acc::sum(samples));
+    append(page, base, "summary", base + "_count" + in_braces(labels), acc::count(samples));
+    append(page, base + "_max", "gauge", base + "_max" + in_braces(labels), acc::max(samples));
 }
 
 } // namespace
@@ -142,8 +142,8 @@
         for (const auto& [series, level] : part->gauges) {
             append(page, split(series).base, "gauge", series, level);
         }
-        for (const auto& [series, spread] : part->distributions) {
-            append_distribution(page, series, spread);
+        for (const auto& [series, samples] : part->distributions) {
+            append_distribution(page, series, samples);
         }
     }
     std::string text;
--- a/src/observe/trace.cpp
+++ b/src/observe/trace.cpp
@@ -20,7 +20,7 @@
     std::string resource;
 };
 
-span_file& file()
+span_file& shared_span_file()
 {
     static span_file shared;
     return shared;
@@ -62,8 +62,8 @@
 
 trace_context parse_traceparent(std::string_view header)
 {
-    const bool shaped = header.size() >= traceparent_length && header[2] == '-' && header[35] == '-';
-    if (!shaped) {
+    const bool well_formed = header.size() >= traceparent_length && header[2] == '-' && header[35] == '-';
+    if (!well_formed) {
         return new_trace();
     }
     const auto trace_id = header.substr(3, trace_id_digits);
@@ -85,7 +85,7 @@
     if (path.empty()) {
         return;
     }
-    auto& shared = file();
+    auto& shared = shared_span_file();
     const std::lock_guard lock(shared.mutex);
     shared.out.open(path, std::ios::app);
     shared.resource = R"({"resource":{"attributes":[)" + attribute("service.name", program) + "," +
@@ -93,13 +93,13 @@
 }
 
 span::span(const trace_context& parent, std::string_view name)
-    : context_{parent.trace_id, hex(random_bits())}, parent_span_(parent.span_id), name_(name),
+    : context_{parent.trace_id, hex(random_bits())}, parent_span_id_(parent.span_id), name_(name),
       start_(std::chrono::system_clock::now())
 {
 }
 
 span::span(span&& other) noexcept
-    : context_(std::move(other.context_)), parent_span_(std::move(other.parent_span_)),
+    : context_(std::move(other.context_)), parent_span_id_(std::move(other.parent_span_id_)),
       name_(std::move(other.name_)), start_(other.start_), attributes_(std::move(other.attributes_)),
       ended_(std::exchange(other.ended_, true))
 {
@@ -112,7 +112,7 @@
 
 void span::set_attribute(std::string_view key, std::string_view value)
 {
-    if (file().out.is_open()) {
+    if (shared_span_file().out.is_open()) {
         attributes_.emplace_back(key, value);
     }
 }
@@ -122,20 +122,20 @@
     if (std::exchange(ended_, true)) {
         return;
     }
-    auto& shared = file();
+    auto& shared = shared_span_file();
     if (!shared.out.is_open()) {
         return;
     }
     std::string line = R"(,"scopeSpans":[{"spans":[{"traceId":)" + json_text(context_.trace_id);
     line += ",\"spanId\":" + json_text(context_.span_id);
-    line += ",\"parentSpanId\":" + json_text(parent_span_);
+    line += ",\"parentSpanId\":" + json_text(parent_span_id_);
     line += ",\"name\":" + json_text(name_);
     line += ",\"startTimeUnixNano\":\"" + nanoseconds(start_) + "\"";
     line += ",\"endTimeUnixNano\":\"" + nanoseconds(std::chrono::system_clock::now()) + "\"";
     line += ",\"attributes\":[";
-    for (std::size_t place = 0; place < attributes_.size(); ++place) {
-        line += place == 0 ? "" : ",";
-        line += attribute(attributes_[place].first, attributes_[place].second);
+    for (std::size_t index = 0; index < attributes_.size(); ++index) {
+        line += index == 0 ? "" : ",";
+        line += attribute(attributes_[index].first, attributes_[index].second);
     }
     line += "]}]}]}";
     const std::lock_guard lock(shared.mutex);
--- a/src/observe/trace.hpp
+++ b/src/observe/trace.hpp
@@ -49,7 +49,7 @@
 
 private:
     trace_context context_;
-    std::string parent_span_;
+    std::string parent_span_id_;
     std::string name_;
     std::chrono::system_clock::time_point start_;
     std::vector<std::pair<std::string, std::string>> attributes_;
--- a/tests/objects/call_budget_tests.cpp
+++ b/tests/objects/call_budget_tests.cpp
@@ -13,8 +13,8 @@
 int calls_made(call_budget& budget, call_priority priority, time_point now, int tries)
 {
     int made = 0;
-    for (int place = 0; place < tries; ++place) {
-        made += budget.take(priority, now) ? 1 : 0;
+    for (int index = 0; index < tries; ++index) {
+        made += budget.try_acquire(priority, now) ? 1 : 0;
     }
     return made;
 }
@@ -42,7 +42,7 @@
         const budget_limits limits;
         const auto fleet = static_cast<double>(made) * static_cast<double>(members);
         const double bound = std::max(limits.fleet_calls_per_second,
-                                      limits.least_calls_per_second * static_cast<double>(members));
+                                      limits.min_calls_per_second * static_cast<double>(members));
         EXPECT_LE(fleet, bound * span + limits.burst * static_cast<double>(members));
     }
 }
@@ -53,22 +53,22 @@
     calls_made(budget, call_priority::status, start, 1000);
     const auto wait = budget.retry_after(call_priority::status);
     EXPECT_GT(wait.count(), 0);
-    EXPECT_TRUE(budget.take(call_priority::status, start + wait));
+    EXPECT_TRUE(budget.try_acquire(call_priority::status, start + wait));
 }
 
 TEST(store_health, tells_a_slow_store_from_one_that_is_down)
 {
     store_health health;
     EXPECT_EQ(health.state(), store_state::down) << "never heard";
-    health.answered(milliseconds{3});
+    health.record_response(milliseconds{3});
     EXPECT_EQ(health.state(), store_state::up);
-    health.failed();
+    health.record_failure();
     EXPECT_EQ(health.state(), store_state::slow);
-    health.failed();
-    health.failed();
+    health.record_failure();
+    health.record_failure();
     EXPECT_EQ(health.state(), store_state::down);
-    health.answered(milliseconds{1500});
-    health.answered(milliseconds{1500});
+    health.record_response(milliseconds{1500});
+    health.record_response(milliseconds{1500});
     EXPECT_EQ(health.state(), store_state::slow);
 }
 
--- a/tests/objects/object_client_tests.cpp
+++ b/tests/objects/object_client_tests.cpp
@@ -15,15 +15,15 @@
 /// Answers each call with the next of the prepared answers, without a network.
 class scripted_channel final : public wire::channel {
 public:
-    std::deque<std::function<result<std::string>(const std::string& body)>> answers;
+    std::deque<std::function<result<std::string>(const std::string& body)>> replies;
 
     wire::codec encoding() const override { return wire::codec::protobuf; }
     wire::call_cancel start(const std::string& /*path*/, std::string body,
                             const wire::call_options& /*options*/, on_chunk /*chunk*/, on_done done) override
     {
-        auto answer = std::move(answers.front());
-        answers.pop_front();
-        done(answer(body));
+        auto reply = std::move(replies.front());
+        replies.pop_front();
+        done(reply(body));
         return [] {};
     }
 };
@@ -60,13 +60,13 @@
 {
     scripted_channel channel;
     std::string operation;
-    channel.answers.emplace_back([&operation](const std::string& body) {
+    channel.replies.emplace_back([&operation](const std::string& body) {
         pb::WriteRequest request;
         request.ParseFromString(body);
         operation = request.operation_id();
         return lost_reply();
     });
-    channel.answers.emplace_back([&operation](const std::string&) { return found_object(6, operation); });
+    channel.replies.emplace_back([&operation](const std::string&) { return found_object(6, operation); });
     const auto outcome = write_through(channel, 5);
     ASSERT_TRUE(std::holds_alternative<written>(outcome));
     EXPECT_EQ(std::get<written>(outcome).version, 6U);
@@ -77,8 +77,8 @@
 TEST(object_client, a_write_with_a_lost_reply_that_was_overwritten_is_not_called_not_run)
 {
     scripted_channel channel;
-    channel.answers.emplace_back([](const std::string&) { return lost_reply(); });
-    channel.answers.emplace_back([](const std::string&) { return found_object(7, "another operation"); });
+    channel.replies.emplace_back([](const std::string&) { return lost_reply(); });
+    channel.replies.emplace_back([](const std::string&) { return found_object(7, "another operation"); });
     const auto outcome = write_through(channel, 5);
     ASSERT_TRUE(std::holds_alternative<write_superseded>(outcome));
     EXPECT_EQ(failure(to_result(outcome, 5)).ran, run_state::in_doubt);
@@ -89,21 +89,21 @@
 {
     scripted_channel channel;
     std::string operation;
-    channel.answers.emplace_back([&operation](const std::string& body) {
+    channel.replies.emplace_back([&operation](const std::string& body) {
         pb::WriteRequest request;
         request.ParseFromString(body);
         operation = request.operation_id();
         return lost_reply();
     });
-    channel.answers.emplace_back([](const std::string&) { return found_object(5, "the one before"); });
-    channel.answers.emplace_back([&operation](const std::string&) { return found_object(6, operation); });
+    channel.replies.emplace_back([](const std::string&) { return found_object(5, "the one before"); });
+    channel.replies.emplace_back([&operation](const std::string&) { return found_object(6, operation); });
     EXPECT_TRUE(std::holds_alternative<written>(write_through(channel, 5)));
 }
 
 TEST(object_client, a_refused_condition_is_a_conflict_that_did_not_run)
 {
     scripted_channel channel;
-    channel.answers.emplace_back([](const std::string&) -> result<std::string> {
+    channel.replies.emplace_back([](const std::string&) -> result<std::string> {
         pb::WriteReply reply;
         reply.mutable_object()->set_version(9);
         return reply.SerializeAsString();
--- a/tests/observe/metrics_tests.cpp
+++ b/tests/observe/metrics_tests.cpp
@@ -10,7 +10,7 @@
     metrics series;
     series.add("calls_total{code=\"ok\"}", 2);
     series.set("load", 0.5);
-    for (int place = 0; place < 100; ++place) {
+    for (int count = 0; count < 100; ++count) {
         series.record("call_seconds", milliseconds{10});
     }
     const auto page = series.page();
