--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 /// The version the keeper holds, for a change that names none; 0 where there is no object.
-result<std::uint64_t> held_version(const session& to, const std::string& kind, const std::string& name)
+result<std::uint64_t> current_version(const session& keeper, const std::string& kind, const std::string& name)
 {
     v1::GetRequest request;
     request.set_kind(kind);
     request.set_name(name);
-    const auto reply = ask<v1::GetReply>(to, "Get", request);
+    const auto reply = call<v1::GetReply>(keeper, "Get", request);
     if (ok(reply)) {
         return std::uint64_t{value(reply).object().version()};
     }
@@ -24,7 +24,7 @@
 
 /// The version that the change is conditional on. A change that lands between this read and the apply makes
 /// the apply a conflict, so it is never overwritten unseen.
-result<std::uint64_t> base_version(const session& to, const declared_object& declared,
+result<std::uint64_t> base_version(const session& keeper, const declared_object& declared,
                                    const std::optional<std::uint64_t>& chosen)
 {
     if (chosen) {
@@ -33,20 +33,20 @@
     if (declared.versioned) {
         return std::uint64_t{declared.object.version()};
     }
-    return held_version(to, declared.object.kind(), declared.object.name());
+    return current_version(keeper, declared.object.kind(), declared.object.name());
 }
 
-result<v1::Object> apply_one(const session& to, const declared_object& declared,
+result<v1::Object> apply_one(const session& keeper, const declared_object& declared,
                              const std::optional<std::uint64_t>& version)
 {
-    const auto base = base_version(to, declared, version);
+    const auto base = base_version(keeper, declared, version);
     if (!ok(base)) {
         return failure(base);
     }
     v1::ApplyRequest request;
     *request.mutable_object() = declared.object;
     request.mutable_object()->set_version(value(base));
-    const auto reply = ask<v1::ApplyReply>(to, "Apply", request);
+    const auto reply = call<v1::ApplyReply>(keeper, "Apply", request);
     if (ok(reply)) {
         return value(reply).object();
     }
@@ -58,16 +58,16 @@
     return refused;
 }
 
-void print(const session& to, const v1::Object& object)
+void print(const session& keeper, const v1::Object& object)
 {
-    if (to.form == output::json) {
-        to.out << compact(object);
+    if (keeper.format == output_format::json) {
+        keeper.out << compact(object);
         return;
     }
-    to.out << object.kind() << "/" << object.name() << " version " << object.version() << "\n";
+    keeper.out << object.kind() << "/" << object.name() << " version " << object.version() << "\n";
 }
 
-std::string joined(const google::protobuf::RepeatedPtrField<std::string>& words)
+std::string join(const google::protobuf::RepeatedPtrField<std::string>& words)
 {
     std::string text;
     for (const auto& word : words) {
@@ -76,14 +76,14 @@
     return text;
 }
 
-result<done> wait_until_held(const session& to, const v1::Object& object, milliseconds longest)
+result<done> wait_until_propagated(const session& keeper, const v1::Object& object, milliseconds timeout)
 {
     v1::SpreadRequest request;
     request.set_kind(object.kind());
     request.set_name(object.name());
     request.set_version(object.version());
-    request.set_wait_ms(longest.count());
-    const auto reply = ask<v1::SpreadReply>(to, "Spread", request, longest + command_timeout);
+    request.set_wait_ms(timeout.count());
+    const auto reply = call<v1::SpreadReply>(keeper, "Spread", request, timeout + command_timeout);
     if (!ok(reply)) {
         return failure(reply);
     }
@@ -93,17 +93,17 @@
                       std::to_string(seen.nodes()) + " live VMs";
     if (seen.holding() < seen.nodes()) {
         return error{error_code::deadline_exceeded, run_state::ran,
-                     "accepted, but " + line + "; not by " + joined(seen.missing())};
+                     "accepted, but " + line + "; not by " + join(seen.missing())};
     }
-    if (to.form == output::table) {
-        to.out << line << "\n";
+    if (keeper.format == output_format::table) {
+        keeper.out << line << "\n";
     }
     return done{};
 }
 
 } // namespace
 
-result<done> apply(const session& to, const apply_options& options)
+result<done> apply(const session& keeper, const apply_options& options)
 {
     const auto objects = read_objects(options.file);
     if (!ok(objects)) {
@@ -111,18 +111,18 @@
     }
     std::vector<v1::Object> accepted;
     for (const auto& declared : value(objects)) {
-        const auto applied = apply_one(to, declared, options.version);
+        const auto applied = apply_one(keeper, declared, options.version);
         if (!ok(applied)) {
             return failure(applied);
         }
-        print(to, value(applied));
+        print(keeper, value(applied));
         accepted.push_back(value(applied));
     }
     for (const auto& object : accepted) {
         if (!options.wait) {
             break;
         }
-        auto held = wait_until_held(to, object, options.wait_time);
+        auto held = wait_until_propagated(keeper, object, options.wait_time);
         if (!ok(held)) {
             return held;
         }
@@ -130,9 +130,9 @@
     return done{};
 }
 
-result<done> remove(const session& to, const std::string& kind, const std::string& name)
+result<done> remove(const session& keeper, const std::string& kind, const std::string& name)
 {
-    const auto held = held_version(to, kind, name);
+    const auto held = current_version(keeper, kind, name);
     if (!ok(held)) {
         return failure(held);
     }
@@ -143,32 +143,32 @@
     request.set_kind(kind);
     request.set_name(name);
     request.set_version(value(held));
-    const auto reply = ask<v1::DeleteReply>(to, "Delete", request);
+    const auto reply = call<v1::DeleteReply>(keeper, "Delete", request);
     if (!ok(reply)) {
         return failure(reply);
     }
-    if (to.form == output::json) {
-        to.out << compact(value(reply));
+    if (keeper.format == output_format::json) {
+        keeper.out << compact(value(reply));
     }
     else {
-        to.out << kind << "/" << name << " deleted\n";
+        keeper.out << kind << "/" << name << " deleted\n";
     }
     return done{};
 }
 
-result<done> drain(const session& to, const std::string& vm)
+result<done> drain(const session& keeper, const std::string& vm)
 {
     v1::DrainRequest request;
     request.set_vm(vm);
-    const auto reply = ask<v1::DrainReply>(to, "Drain", request);
+    const auto reply = call<v1::DrainReply>(keeper, "Drain", request);
     if (!ok(reply)) {
         return failure(reply);
     }
-    if (to.form == output::json) {
-        to.out << compact(value(reply));
+    if (keeper.format == output_format::json) {
+        keeper.out << compact(value(reply));
     }
     else {
-        to.out << vm << " is draining; `vgctl delete drain " << vm << "` takes it back\n";
+        keeper.out << vm << " is draining; `vgctl delete drain " << vm << "` takes it back\n";
     }
     return done{};
 }
--- a/src/ctl/commands.hpp
+++ b/src/ctl/commands.hpp
@@ -18,9 +18,9 @@
 };
 
 /// Stops at the first object that is refused; what was accepted before it has been printed.
-result<done> apply(const session& to, const apply_options& options);
-result<done> remove(const session& to, const std::string& kind, const std::string& name);
-result<done> drain(const session& to, const std::string& vm);
+result<done> apply(const session& keeper, const apply_options& options);
+result<done> remove(const session& keeper, const std::string& kind, const std::string& name);
+result<done> drain(const session& keeper, const std::string& vm);
 
 } // namespace vanillagauge::ctl
 
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -22,7 +22,7 @@
 struct command_line {
     std::string server;
     std::string token;
-    ctl::output form = ctl::output::table;
+    ctl::output_format format = ctl::output_format::table;
     ctl::apply_options apply;
     int count = 0;
     std::vector<std::string> spans;
@@ -52,7 +52,7 @@
 }
 
 /// Commands that ask no keeper; empty for the others.
-std::optional<outcome> run_alone(const command_line& chosen)
+std::optional<outcome> run_offline(const command_line& chosen)
 {
     const auto& words = chosen.words;
     if (words.front() == "check" && words.size() == 1 && !chosen.apply.file.empty()) {
@@ -61,44 +61,44 @@
     if (words.front() == "trace" && words.size() >= 2) {
         auto files = chosen.spans;
         files.insert(files.end(), words.begin() + 2, words.end());
-        return to_outcome(ctl::trace(std::cout, chosen.form, words[1], files));
+        return to_outcome(ctl::trace(std::cout, chosen.format, words[1], files));
     }
     if (words.front() == "explain" && words.size() >= 2 && !chosen.logs.empty()) {
         auto files = chosen.logs;
         files.insert(files.end(), words.begin() + 2, words.end());
-        return to_outcome(ctl::explain_logs(std::cout, chosen.form, words[1], files));
+        return to_outcome(ctl::explain_logs(std::cout, chosen.format, words[1], files));
     }
     return std::nullopt;
 }
 
-outcome run(const ctl::session& to, const command_line& chosen)
+outcome run(const ctl::session& keeper, const command_line& chosen)
 {
     const auto& words = chosen.words;
     const auto& command = words.front();
     const auto count = words.size();
     if (command == "apply" && count == 1 && !chosen.apply.file.empty()) {
-        return to_outcome(ctl::apply(to, chosen.apply));
+        return to_outcome(ctl::apply(keeper, chosen.apply));
     }
     if (command == "get" && count == 3) {
-        return to_outcome(ctl::get(to, words[1], words[2]));
+        return to_outcome(ctl::get(keeper, words[1], words[2]));
     }
     if (command == "list" && count <= 2) {
-        return to_outcome(ctl::list(to, count == 2 ? words[1] : ""));
+        return to_outcome(ctl::list(keeper, count == 2 ? words[1] : ""));
     }
     if (command == "watch" && count <= 2) {
-        return to_outcome(ctl::watch(to, count == 2 ? words[1] : "", chosen.count));
+        return to_outcome(ctl::watch(keeper, count == 2 ? words[1] : "", chosen.count));
     }
     if (command == "delete" && count == 3) {
-        return to_outcome(ctl::remove(to, words[1], words[2]));
+        return to_outcome(ctl::remove(keeper, words[1], words[2]));
     }
     if (command == "status" && count == 1) {
-        return to_outcome(ctl::status(to));
+        return to_outcome(ctl::status(keeper));
     }
     if (command == "explain" && count == 2) {
-        return to_outcome(ctl::explain(to, words[1], chosen.spans));
+        return to_outcome(ctl::explain(keeper, words[1], chosen.spans));
     }
     if (command == "drain" && count == 2) {
-        return to_outcome(ctl::drain(to, words[1]));
+        return to_outcome(ctl::drain(keeper, words[1]));
     }
     return usage_error{};
 }
@@ -138,7 +138,7 @@
     command_line chosen;
     chosen.server = server.getValue();
     chosen.token = token.getValue();
-    chosen.form = form.getValue() == "json" ? ctl::output::json : ctl::output::table;
+    chosen.format = form.getValue() == "json" ? ctl::output_format::json : ctl::output_format::table;
     chosen.apply.file = file.getValue();
     if (version.isSet()) {
         chosen.apply.version = version.getValue();
@@ -166,7 +166,7 @@
         return node::exit_usage;
     }
     const auto& failed = std::get<error>(ended);
-    if (chosen.form == ctl::output::json) {
+    if (chosen.format == ctl::output_format::json) {
         std::cerr << wire::encode(wire::codec::json, wire::to_message(failed)) << "\n";
     }
     else {
@@ -190,7 +190,7 @@
             return node::exit_usage;
         }
     }
-    if (const auto ended = run_alone(chosen)) {
+    if (const auto ended = run_offline(chosen)) {
         return report(*ended, chosen);
     }
     if (chosen.server.empty()) {
@@ -199,6 +199,6 @@
     }
     wire::set_http_threads(2);
     wire::event_loop loop;
-    wire::http_channel link(loop, chosen.server);
-    return report(run({link, chosen.token, chosen.form, std::cout}, chosen), chosen);
+    wire::http_channel channel(loop, chosen.server);
+    return report(run({channel, chosen.token, chosen.format, std::cout}, chosen), chosen);
 }
--- a/src/ctl/object_file.cpp
+++ b/src/ctl/object_file.cpp
@@ -14,7 +14,7 @@
 
 using nlohmann::json;
 
-error wrong(const std::string& origin, const std::string& detail)
+error invalid(const std::string& origin, const std::string& detail)
 {
     return {error_code::invalid_argument, run_state::not_run, origin + ": " + detail};
 }
@@ -24,10 +24,10 @@
     declared_object declared;
     const auto decoded = wire::decode(wire::codec::json, item.dump(), declared.object);
     if (!ok(decoded)) {
-        return wrong(origin, failure(decoded).detail);
+        return invalid(origin, failure(decoded).detail);
     }
     if (declared.object.kind().empty() || declared.object.name().empty()) {
-        return wrong(origin, R"(expected the keys "kind" and "name", found )" + item.dump().substr(0, 80));
+        return invalid(origin, R"(expected the keys "kind" and "name", found )" + item.dump().substr(0, 80));
     }
     declared.versioned = item.contains("version");
     return declared;
@@ -39,13 +39,13 @@
 {
     const auto parsed = json::parse(text, nullptr, false);
     if (parsed.is_discarded() || !(parsed.is_array() || parsed.is_object())) {
-        return wrong(origin, "expected a JSON object or an array of objects");
+        return invalid(origin, "expected a JSON object or an array of objects");
     }
     const auto items = parsed.is_array() ? parsed : json::array({parsed});
     std::vector<declared_object> objects;
-    for (std::size_t place = 0; place < items.size(); ++place) {
-        const auto where = parsed.is_array() ? origin + ": at /" + std::to_string(place) : origin;
-        auto declared = parse_object(items[place], where);
+    for (std::size_t index = 0; index < items.size(); ++index) {
+        const auto where = parsed.is_array() ? origin + ": at /" + std::to_string(index) : origin;
+        auto declared = parse_object(items[index], where);
         if (!ok(declared)) {
             return failure(declared);
         }
--- a/src/ctl/queries.cpp
+++ b/src/ctl/queries.cpp
@@ -1,7 +1,7 @@
 #include "ctl/queries.hpp"
 
 #include "ctl/format.hpp"
-#include "ctl/request_story.hpp"
+#include "ctl/request_timeline.hpp"
 #include "ctl/span_tree.hpp"
 
 #include <thread>
@@ -28,42 +28,42 @@
 
 } // namespace
 
-result<done> get(const session& to, const std::string& kind, const std::string& name)
+result<done> get(const session& keeper, const std::string& kind, const std::string& name)
 {
     v1::GetRequest request;
     request.set_kind(kind);
     request.set_name(name);
-    const auto reply = ask<v1::GetReply>(to, "Get", request);
+    const auto reply = call<v1::GetReply>(keeper, "Get", request);
     if (!ok(reply)) {
         return failure(reply);
     }
-    to.out << pretty(value(reply).object());
+    keeper.out << pretty(value(reply).object());
     return done{};
 }
 
-result<done> list(const session& to, const std::string& kind)
+result<done> list(const session& keeper, const std::string& kind)
 {
     v1::ListRequest request;
     request.set_kind(kind);
-    const auto reply = ask<v1::ListReply>(to, "List", request);
+    const auto reply = call<v1::ListReply>(keeper, "List", request);
     if (!ok(reply)) {
         return failure(reply);
     }
-    if (to.form == output::json) {
-        to.out << pretty(value(reply));
+    if (keeper.format == output_format::json) {
+        keeper.out << pretty(value(reply));
         return done{};
     }
     std::vector<std::vector<std::string>> rows{{"KIND", "NAME", "VERSION"}};
     for (const auto& object : value(reply).objects()) {
         rows.push_back({object.kind(), object.name(), std::to_string(object.version())});
     }
-    to.out << table(rows);
+    keeper.out << table(rows);
     return done{};
 }
 
-result<done> watch(const session& to, const std::string& kind, int count)
+result<done> watch(const session& keeper, const std::string& kind, int count)
 {
-    const auto start = ask<v1::ListReply>(to, "List", v1::ListRequest{});
+    const auto start = call<v1::ListReply>(keeper, "List", v1::ListRequest{});
     if (!ok(start)) {
         return failure(start);
     }
@@ -73,19 +73,19 @@
     request.set_wait_ms(watch_wait.count());
     int seen = 0;
     while (true) {
-        const auto reply = ask<v1::WatchReply>(to, "Watch", request, watch_timeout);
+        const auto reply = call<v1::WatchReply>(keeper, "Watch", request, watch_timeout);
         if (!ok(reply)) {
             return failure(reply);
         }
         for (const auto& object : value(reply).objects()) {
-            if (to.form == output::json) {
-                to.out << compact(object);
+            if (keeper.format == output_format::json) {
+                keeper.out << compact(object);
             }
             else {
-                to.out << object.kind() << "/" << object.name() << " version " << object.version() << " "
-                       << state_of(object) << "\n";
+                keeper.out << object.kind() << "/" << object.name() << " version " << object.version() << " "
+                           << state_of(object) << "\n";
             }
-            to.out << std::flush;
+            keeper.out << std::flush;
             if (++seen == count) {
                 return done{};
             }
@@ -94,14 +94,14 @@
     }
 }
 
-result<done> status(const session& to)
+result<done> status(const session& keeper)
 {
-    const auto reply = ask<v1::StatusReply>(to, "Status", v1::StatusRequest{});
+    const auto reply = call<v1::StatusReply>(keeper, "Status", v1::StatusRequest{});
     if (!ok(reply)) {
         return failure(reply);
     }
-    if (to.form == output::json) {
-        to.out << pretty(value(reply));
+    if (keeper.format == output_format::json) {
+        keeper.out << pretty(value(reply));
         return done{};
     }
     std::vector<std::vector<std::string>> rows{
@@ -111,48 +111,49 @@
         rows.push_back({info.vm(), info.failure_domain(), node.state(), info.draining() ? "yes" : "no",
                         std::to_string(info.config_revision()), processes_of(info)});
     }
-    to.out << "seen from " << value(reply).vm() << ", store " << value(reply).store() << "\n" << table(rows);
+    keeper.out << "seen from " << value(reply).vm() << ", store " << value(reply).store() << "\n"
+               << table(rows);
     return done{};
 }
 
-result<done> explain(const session& to, const std::string& subject, const std::vector<std::string>& files)
+result<done> explain(const session& keeper, const std::string& subject, const std::vector<std::string>& files)
 {
     if (subject.find('/') == std::string::npos) {
-        return trace(to.out, to.form, subject, files);
+        return trace(keeper.out, keeper.format, subject, files);
     }
     v1::ExplainRequest request;
     request.set_subject(subject);
-    const auto reply = ask<v1::ExplainReply>(to, "Explain", request);
+    const auto reply = call<v1::ExplainReply>(keeper, "Explain", request);
     if (!ok(reply)) {
         return failure(reply);
     }
-    if (to.form == output::json) {
-        to.out << pretty(value(reply));
+    if (keeper.format == output_format::json) {
+        keeper.out << pretty(value(reply));
         return done{};
     }
     for (const auto& line : value(reply).lines()) {
-        to.out << line << "\n";
+        keeper.out << line << "\n";
     }
     return done{};
 }
 
-result<done> explain_logs(std::ostream& out, output form, const std::string& id,
+result<done> explain_logs(std::ostream& out, output_format format, const std::string& id,
                           const std::vector<std::string>& files)
 {
     const auto read = read_logs(files);
     if (!ok(read)) {
         return failure(read);
     }
-    const auto story = find_story(value(read), id);
-    if (story.lines.empty()) {
+    const auto timeline = build_timeline(value(read), id);
+    if (timeline.lines.empty()) {
         return error{error_code::not_found, run_state::not_run,
                      "no line of \"" + id + "\" in these files: expected the id of a request, batch or item"};
     }
-    out << (form == output::json ? json_story(id, story) : text_story(id, story));
+    out << (format == output_format::json ? timeline_json(id, timeline) : timeline_text(id, timeline));
     return done{};
 }
 
-result<done> trace(std::ostream& out, output form, const std::string& id,
+result<done> trace(std::ostream& out, output_format format, const std::string& id,
                    const std::vector<std::string>& files)
 {
     if (files.empty()) {
@@ -168,8 +169,8 @@
         return error{error_code::not_found, run_state::not_run,
                      "no span of \"" + id + "\" in these files: expected a trace id or a request id"};
     }
-    const auto hops = tree_of(value(read), *trace_id);
-    out << (form == output::json ? json_tree(*trace_id, hops) : text_tree(*trace_id, hops));
+    const auto hops = build_tree(value(read), *trace_id);
+    out << (format == output_format::json ? tree_json(*trace_id, hops) : tree_text(*trace_id, hops));
     return done{};
 }
 
--- a/src/ctl/request_story.cpp
+++ b/src/ctl/request_timeline.cpp
@@ -1,4 +1,4 @@
-#include "ctl/request_story.hpp"
+#include "ctl/request_timeline.hpp"
 
 #include <algorithm>
 #include <array>
@@ -15,9 +15,9 @@
 
 /// A belief that is older than this when the request came decides rarely; what a gateway knows is confirmed
 /// every second or so.
-constexpr milliseconds context_before{10000};
+constexpr milliseconds context_window{10000};
 /// Enough for an evening's reader; the lines nearest to the request are kept.
-constexpr std::size_t most_context = 40;
+constexpr std::size_t max_context_lines = 40;
 
 /// Beliefs of a whole VM: they count where that VM handled the request.
 constexpr std::array vm_events{"ready",         "stop_requested",        "stopped",
@@ -25,7 +25,7 @@
                                "feeds_source",  "feed_history_gone",     "configuration_in_force",
                                "reload_failed", "machine_was_suspended", "version_named"};
 /// Who ordered weights: few, and they count wherever they were written, for batches.
-constexpr std::array order_events{"lease_taken", "lease_lost", "lease_not_taken", "lease_not_renewed",
+constexpr std::array lease_events{"lease_taken", "lease_lost", "lease_not_taken", "lease_not_renewed",
                                   "lease_given_up"};
 
 template <std::size_t Count>
@@ -40,7 +40,7 @@
     return found != line.fields.end() && found->is_string() ? found->get<std::string>() : std::string{};
 }
 
-bool names(const log_line& line, const std::string& id)
+bool mentions(const log_line& line, const std::string& id)
 {
     return text_of(line, "request") == id || text_of(line, "batch") == id;
 }
@@ -53,11 +53,11 @@
     milliseconds last{milliseconds::min()};
 };
 
-subject look_up(const std::vector<log_line>& lines, const std::string& id)
+subject find_subject(const std::vector<log_line>& lines, const std::string& id)
 {
     subject found;
     for (const auto& line : lines) {
-        if (!names(line, id)) {
+        if (!mentions(line, id)) {
             continue;
         }
         found.vms.insert(line.vm);
@@ -75,27 +75,27 @@
 
 bool is_context(const log_line& line, const subject& about, bool of_batch)
 {
-    if (line.time < about.first - context_before || line.time > about.last) {
+    if (line.time < about.first - context_window || line.time > about.last) {
         return false;
     }
     if (about.replicas.contains(text_of(line, "replica")) && text_of(line, "request").empty()) {
         return about.vms.contains(line.vm) || line.event == "weights_ordered";
     }
     return (about.vms.contains(line.vm) && is_one_of(vm_events, line.event)) ||
-           (of_batch && is_one_of(order_events, line.event));
+           (of_batch && is_one_of(lease_events, line.event));
 }
 
 /// The context that lies nearest before the end of the request.
-void bound(request_story& story, std::vector<story_line> context)
+void add_context(request_timeline& timeline, std::vector<timeline_entry> context)
 {
-    if (context.size() > most_context) {
-        story.left_out = context.size() - most_context;
-        context.erase(context.begin(), context.end() - most_context);
+    if (context.size() > max_context_lines) {
+        timeline.left_out = context.size() - max_context_lines;
+        context.erase(context.begin(), context.end() - max_context_lines);
     }
-    std::move(context.begin(), context.end(), std::back_inserter(story.lines));
+    std::move(context.begin(), context.end(), std::back_inserter(timeline.lines));
 }
 
-bool earlier(const story_line& left, const story_line& right)
+bool earlier(const timeline_entry& left, const timeline_entry& right)
 {
     return left.line.time < right.line.time;
 }
@@ -113,7 +113,7 @@
     return "context";
 }
 
-std::string said(const log_line& line)
+std::string fields_text(const log_line& line)
 {
     std::string text;
     for (const auto& [field, content] : line.fields.items()) {
@@ -139,8 +139,8 @@
         line.level = fields.value("level", std::string{});
         line.vm = fields.value("vm", std::string{});
         line.event = fields["event"].get<std::string>();
-        for (const auto* known : {"time_ms", "level", "program", "vm", "event"}) {
-            fields.erase(known);
+        for (const auto* key : {"time_ms", "level", "program", "vm", "event"}) {
+            fields.erase(key);
         }
         line.fields = std::move(fields);
         lines.push_back(std::move(line));
@@ -164,53 +164,54 @@
     return lines;
 }
 
-request_story find_story(const std::vector<log_line>& lines, const std::string& id)
+request_timeline build_timeline(const std::vector<log_line>& lines, const std::string& id)
 {
-    request_story story;
-    const auto about = look_up(lines, id);
-    std::vector<story_line> context;
+    request_timeline timeline;
+    const auto about = find_subject(lines, id);
+    std::vector<timeline_entry> context;
     for (const auto& line : lines) {
         const bool of_batch = about.batches.contains(text_of(line, "batch")) ||
                               about.batches.contains(text_of(line, "request"));
         const bool of_another =
             !text_of(line, "request").empty() && !about.batches.contains(text_of(line, "request"));
-        if (names(line, id)) {
-            story.lines.push_back({line_role::own, line});
+        if (mentions(line, id)) {
+            timeline.lines.push_back({line_role::own, line});
         }
         else if (of_batch && !of_another) {
-            story.lines.push_back({line_role::batch, line});
+            timeline.lines.push_back({line_role::batch, line});
         }
         else if (is_context(line, about, !about.batches.empty())) {
             context.push_back({line_role::context, line});
         }
     }
     std::stable_sort(context.begin(), context.end(), earlier);
-    bound(story, std::move(context));
-    std::stable_sort(story.lines.begin(), story.lines.end(), earlier);
-    return story;
+    add_context(timeline, std::move(context));
+    std::stable_sort(timeline.lines.begin(), timeline.lines.end(), earlier);
+    return timeline;
 }
 
-std::string text_story(const std::string& id, const request_story& story)
+std::string timeline_text(const std::string& id, const request_timeline& timeline)
 {
     std::ostringstream out;
-    const auto first = std::find_if(story.lines.begin(), story.lines.end(),
-                                    [](const story_line& line) { return line.role == line_role::own; });
+    const auto first = std::find_if(timeline.lines.begin(), timeline.lines.end(),
+                                    [](const timeline_entry& line) { return line.role == line_role::own; });
     out << id << ", times from its first line\n";
-    if (story.left_out > 0) {
-        out << "  (" << story.left_out << " earlier lines of context left out)\n";
+    if (timeline.left_out > 0) {
+        out << "  (" << timeline.left_out << " earlier lines of context left out)\n";
     }
-    for (const auto& [role, line] : story.lines) {
+    for (const auto& [role, line] : timeline.lines) {
         const auto since = std::chrono::duration<double>(line.time - first->line.time).count();
         out << (role == line_role::own ? "* " : "  ") << std::showpos << std::fixed << std::setprecision(3)
-            << since << std::noshowpos << " s  " << line.vm << "  " << line.event << said(line) << "\n";
+            << since << std::noshowpos << " s  " << line.vm << "  " << line.event << fields_text(line)
+            << "\n";
     }
     return out.str();
 }
 
-std::string json_story(const std::string& id, const request_story& story)
+std::string timeline_json(const std::string& id, const request_timeline& timeline)
 {
     json lines = json::array();
-    for (const auto& [role, line] : story.lines) {
+    for (const auto& [role, line] : timeline.lines) {
         lines.push_back({{"role", name(role)},
                          {"time_ms", line.time.count()},
                          {"level", line.level},
@@ -218,7 +219,7 @@
                          {"event", line.event},
                          {"fields", line.fields}});
     }
-    return json{{"id", id}, {"left_out", story.left_out}, {"lines", std::move(lines)}}.dump(2) + "\n";
+    return json{{"id", id}, {"left_out", timeline.left_out}, {"lines", std::move(lines)}}.dump(2) + "\n";
 }
 
 } // namespace vanillagauge::ctl
--- a/src/ctl/request_story.hpp
+++ b/src/ctl/request_timeline.hpp
@@ -1,7 +1,7 @@
 /// What the collected logs of all VMs say about one request, batch or item: its own lines, and the changes of
 /// belief that its decisions rested on.
-#ifndef VANILLAGAUGE_CTL_REQUEST_STORY_HPP
-#define VANILLAGAUGE_CTL_REQUEST_STORY_HPP
+#ifndef VANILLAGAUGE_CTL_REQUEST_TIMELINE_HPP
+#define VANILLAGAUGE_CTL_REQUEST_TIMELINE_HPP
 
 #include "base/base.hpp"
 
@@ -26,14 +26,14 @@
     context, ///< a belief of a VM that handled it, or of a replica that was tried
 };
 
-struct story_line {
+struct timeline_entry {
     line_role role = line_role::own;
     log_line line;
 };
 
-struct request_story {
-    std::vector<story_line> lines; ///< by time
-    std::size_t left_out = 0;      ///< lines of context beyond the bound
+struct request_timeline {
+    std::vector<timeline_entry> lines; ///< by time
+    std::size_t left_out = 0;          ///< lines of context beyond the bound
 };
 
 /// Lines of one text; whatever stands before the first brace is a collector's, and lines that are no events
@@ -42,10 +42,10 @@
 result<std::vector<log_line>> read_logs(const std::vector<std::string>& files);
 
 /// Without lines where no event names the id.
-request_story find_story(const std::vector<log_line>& lines, const std::string& id);
+request_timeline build_timeline(const std::vector<log_line>& lines, const std::string& id);
 
-std::string text_story(const std::string& id, const request_story& story);
-std::string json_story(const std::string& id, const request_story& story);
+std::string timeline_text(const std::string& id, const request_timeline& timeline);
+std::string timeline_json(const std::string& id, const request_timeline& timeline);
 
 } // namespace vanillagauge::ctl
 
--- a/src/ctl/session.hpp
+++ b/src/ctl/session.hpp
@@ -11,25 +11,26 @@
 
 namespace vanillagauge::ctl {
 
-enum class output { table, json };
+enum class output_format { table, json };
 
 struct session {
-    wire::channel& link;
+    wire::channel& channel;
     std::string token;
-    output form = output::table;
+    output_format format = output_format::table;
     std::ostream& out;
 };
 
 constexpr milliseconds command_timeout{10000};
 
 template <class Response>
-result<Response> ask(const session& to, const char* method, const google::protobuf::Message& request,
-                     milliseconds timeout = command_timeout)
+result<Response> call(const session& keeper, const char* method, const google::protobuf::Message& request,
+                      milliseconds timeout = command_timeout)
 {
     wire::call_options options;
     options.timeout = timeout;
-    options.token = to.token;
-    return wire::call_and_wait<Response>(to.link, wire::method<v1::Operator>(method), request, options);
+    options.token = keeper.token;
+    return wire::call_and_wait<Response>(keeper.channel, wire::method<v1::Operator>(method), request,
+                                         options);
 }
 
 } // namespace vanillagauge::ctl
--- a/src/ctl/span_tree.cpp
+++ b/src/ctl/span_tree.cpp
@@ -48,7 +48,7 @@
     return nanoseconds{std::stoll(span.at(key).get<std::string>())};
 }
 
-void take_spans(const json& resource, std::vector<span_record>& into)
+void append_spans(const json& resource, std::vector<span_record>& into)
 {
     for (const auto& scope : resource.at("scopeSpans")) {
         for (const auto& span : scope.at("spans")) {
@@ -61,18 +61,18 @@
             record.vm = attribute(resource.at("resource"), "vm");
             record.start = time_of(span, "startTimeUnixNano");
             record.end = time_of(span, "endTimeUnixNano");
-            record.notes = attributes_of(span);
+            record.attributes = attributes_of(span);
             into.push_back(std::move(record));
         }
     }
 }
 
-void take_line(const std::string& line, std::vector<span_record>& into)
+void append_line(const std::string& line, std::vector<span_record>& into)
 {
     try {
         const auto document = json::parse(line);
         for (const auto& resource : document.at("resourceSpans")) {
-            take_spans(resource, into);
+            append_spans(resource, into);
         }
     }
     catch (const std::exception&) { // NOLINT(bugprone-empty-catch): no whole span on this line
@@ -91,7 +91,7 @@
 std::string notes_text(const span_record& span)
 {
     std::string text;
-    for (const auto& [key, note] : span.notes) {
+    for (const auto& [key, note] : span.attributes) {
         text += (text.empty() ? "" : ", ") + key + "=" + note;
     }
     return text;
@@ -100,35 +100,38 @@
 using children_index = std::multimap<std::string, const span_record*>;
 
 /// `taken` keeps a file with a cycle of parents from making an endless tree.
-hop grow(const span_record& span, const children_index& children, std::set<std::string>& taken)
+span_node build_subtree(const span_record& span, const children_index& children,
+                        std::set<std::string>& visited)
 {
-    hop grown{span, {}};
+    span_node subtree{span, {}};
     const auto [first, last] = children.equal_range(span.span_id);
     for (auto place = first; place != last; ++place) {
-        if (taken.insert(place->second->span_id).second) {
-            grown.children.push_back(grow(*place->second, children, taken));
+        if (visited.insert(place->second->span_id).second) {
+            subtree.children.push_back(build_subtree(*place->second, children, visited));
         }
     }
-    std::sort(grown.children.begin(), grown.children.end(),
-              [](const hop& left, const hop& right) { return left.span.start < right.span.start; });
-    return grown;
+    std::sort(
+        subtree.children.begin(), subtree.children.end(),
+        [](const span_node& left, const span_node& right) { return left.span.start < right.span.start; });
+    return subtree;
 }
 
-void add_rows(const hop& at, std::size_t depth, nanoseconds zero, std::vector<std::vector<std::string>>& rows)
+void add_rows(const span_node& at, std::size_t depth, nanoseconds origin,
+              std::vector<std::vector<std::string>>& rows)
 {
     const auto& span = at.span;
     rows.push_back({std::string(2 * depth, ' ') + span.name, span.program, span.vm,
-                    "+" + milliseconds_text(span.start - zero), milliseconds_text(span.end - span.start),
+                    "+" + milliseconds_text(span.start - origin), milliseconds_text(span.end - span.start),
                     notes_text(span)});
     for (const auto& child : at.children) {
-        add_rows(child, depth + 1, zero, rows);
+        add_rows(child, depth + 1, origin, rows);
     }
 }
 
-json to_json(const hop& at)
+json to_json(const span_node& at)
 {
     json notes = json::array();
-    for (const auto& [key, note] : at.span.notes) {
+    for (const auto& [key, note] : at.span.attributes) {
         notes.push_back({{"key", key}, {"value", note}});
     }
     json children = json::array();
@@ -152,7 +155,7 @@
     std::vector<span_record> spans;
     std::istringstream lines(text);
     for (std::string line; std::getline(lines, line);) {
-        take_line(line, spans);
+        append_line(line, spans);
     }
     return spans;
 }
@@ -182,7 +185,7 @@
         }
     }
     for (const auto& span : spans) {
-        for (const auto& [key, note] : span.notes) {
+        for (const auto& [key, note] : span.attributes) {
             if (key == "request_id" && note == id) {
                 return span.trace_id;
             }
@@ -191,36 +194,36 @@
     return std::nullopt;
 }
 
-std::vector<hop> tree_of(const std::vector<span_record>& spans, const std::string& trace_id)
+std::vector<span_node> build_tree(const std::vector<span_record>& spans, const std::string& trace_id)
 {
     children_index children;
-    std::set<std::string> known;
+    std::set<std::string> span_ids;
     std::vector<const span_record*> members;
     for (const auto& span : spans) {
         if (span.trace_id == trace_id) {
             members.push_back(&span);
-            known.insert(span.span_id);
+            span_ids.insert(span.span_id);
             children.emplace(span.parent_id, &span);
         }
     }
     std::sort(members.begin(), members.end(),
               [](const span_record* left, const span_record* right) { return left->start < right->start; });
-    std::set<std::string> taken;
-    std::vector<hop> roots;
+    std::set<std::string> visited;
+    std::vector<span_node> roots;
     for (const auto* span : members) {
-        if (!known.contains(span->parent_id) && taken.insert(span->span_id).second) {
-            roots.push_back(grow(*span, children, taken));
+        if (!span_ids.contains(span->parent_id) && visited.insert(span->span_id).second) {
+            roots.push_back(build_subtree(*span, children, visited));
         }
     }
     for (const auto* span : members) {
-        if (taken.insert(span->span_id).second) {
-            roots.push_back(grow(*span, children, taken));
+        if (visited.insert(span->span_id).second) {
+            roots.push_back(build_subtree(*span, children, visited));
         }
     }
     return roots;
 }
 
-std::string text_tree(const std::string& trace_id, const std::vector<hop>& hops)
+std::string tree_text(const std::string& trace_id, const std::vector<span_node>& hops)
 {
     std::vector<std::vector<std::string>> rows{
         {"HOP", "PROGRAM", "VM", "START_MS", "DURATION_MS", "DECISIONS"}};
@@ -230,7 +233,7 @@
     return "trace " + trace_id + "\n" + table(rows);
 }
 
-std::string json_tree(const std::string& trace_id, const std::vector<hop>& hops)
+std::string tree_json(const std::string& trace_id, const std::vector<span_node>& hops)
 {
     json roots = json::array();
     for (const auto& root : hops) {
--- a/src/ctl/span_tree.hpp
+++ b/src/ctl/span_tree.hpp
@@ -20,12 +20,12 @@
     std::string vm;
     std::chrono::nanoseconds start{0}; ///< since 1970
     std::chrono::nanoseconds end{0};
-    std::vector<std::pair<std::string, std::string>> notes; ///< decisions, in the order they were taken
+    std::vector<std::pair<std::string, std::string>> attributes; ///< decisions, in the order they were taken
 };
 
-struct hop {
+struct span_node {
     span_record span;
-    std::vector<hop> children; ///< by start
+    std::vector<span_node> children; ///< by start
 };
 
 /// Spans of one text. Lines that are no spans are passed over: a program that was killed leaves half a line.
@@ -36,10 +36,10 @@
 std::optional<std::string> find_trace(const std::vector<span_record>& spans, const std::string& id);
 
 /// The outermost hops. A span whose parent is missing stands there too.
-std::vector<hop> tree_of(const std::vector<span_record>& spans, const std::string& trace_id);
+std::vector<span_node> build_tree(const std::vector<span_record>& spans, const std::string& trace_id);
 
-std::string text_tree(const std::string& trace_id, const std::vector<hop>& hops);
-std::string json_tree(const std::string& trace_id, const std::vector<hop>& hops);
+std::string tree_text(const std::string& trace_id, const std::vector<span_node>& hops);
+std::string tree_json(const std::string& trace_id, const std::vector<span_node>& hops);
 
 } // namespace vanillagauge::ctl
 
--- a/tests/ctl/request_story_tests.cpp
+++ b/tests/ctl/request_timeline_tests.cpp
@@ -1,4 +1,4 @@
-#include "ctl/request_story.hpp"
+#include "ctl/request_timeline.hpp"
 
 #include <gtest/gtest.h>
 
@@ -11,10 +11,10 @@
            vm + R"(","event":")" + name + "\"" + (more.empty() ? "" : "," + more) + "}\n";
 }
 
-std::vector<std::string> events_of(const request_story& story)
+std::vector<std::string> events_of(const request_timeline& timeline)
 {
     std::vector<std::string> events;
-    for (const auto& entry : story.lines) {
+    for (const auto& entry : timeline.lines) {
         events.push_back(entry.line.vm + " " + entry.line.event);
     }
     return events;
@@ -22,7 +22,7 @@
 
 // A caller's check was refused since the gateway took every replica for gone. Its knowledge was old: the
 // store had been lost on that VM shortly before. What another VM believed has nothing to do with it.
-TEST(request_story, puts_what_the_deciding_vm_believed_before_the_refusal)
+TEST(request_timeline, puts_what_the_deciding_vm_believed_before_the_refusal)
 {
     const auto lines =
         parse_log(event(50, "a", "configuration_in_force", R"("version":2)") +
@@ -31,17 +31,17 @@
                   event(9500, "a", "request_ended", R"("request":"another","outcome":"status 200")") +
                   event(19000, "a", "request_ended", R"("request":"x1","outcome":"no replica")") +
                   event(19500, "a", "store_reached_again"));
-    const auto story = find_story(lines, "x1");
-    EXPECT_EQ(events_of(story), (std::vector<std::string>{"a store_lost", "a request_ended"}));
-    EXPECT_EQ(story.lines.back().role, line_role::own);
-    const auto text = text_story("x1", story);
+    const auto timeline = build_timeline(lines, "x1");
+    EXPECT_EQ(events_of(timeline), (std::vector<std::string>{"a store_lost", "a request_ended"}));
+    EXPECT_EQ(timeline.lines.back().role, line_role::own);
+    const auto text = timeline_text("x1", timeline);
     EXPECT_NE(text.find("  -10.000 s  a  store_lost why=refused\n"), std::string::npos) << text;
     EXPECT_NE(text.find("* +0.000 s  a  request_ended outcome=no replica request=x1\n"), std::string::npos)
         << text;
 }
 
 // A sample came late: its batch went to another VM, and the engines got their weights late.
-TEST(request_story, joins_an_item_with_its_batch_and_with_the_orders_of_weights)
+TEST(request_timeline, joins_an_item_with_its_batch_and_with_the_orders_of_weights)
 {
     const auto lines = parse_log(
         event(1000, "a", "batch_submitted", R"("request":"b1","outcome":"accepted")") +
@@ -55,32 +55,32 @@
         event(3400, "b", "item_completed", R"("request":"i8","batch":"b1","replica":"r2@0")") +
         event(3500, "b", "item_completed", R"("request":"i7","batch":"b1","replica":"r1@0","age_ms":2500)"));
     EXPECT_EQ(
-        events_of(find_story(lines, "i7")),
+        events_of(build_timeline(lines, "i7")),
         (std::vector<std::string>{"a batch_submitted", "a batch_taken", "c lease_lost", "b version_named",
                                   "b batch_taken", "c weights_ordered", "b item_completed"}));
 }
 
-TEST(request_story, passes_over_what_is_no_event_and_what_a_collector_puts_before_a_line)
+TEST(request_timeline, passes_over_what_is_no_event_and_what_a_collector_puts_before_a_line)
 {
     const auto lines =
         parse_log("12.5 front-1 " + event(7, "a", "ready") + "half a li\n{\"event\":3}\n{\"time");
     ASSERT_EQ(lines.size(), 1U);
     EXPECT_EQ(lines.front().event, "ready");
     EXPECT_EQ(lines.front().time, milliseconds(7));
-    EXPECT_TRUE(find_story(lines, "none").lines.empty());
+    EXPECT_TRUE(build_timeline(lines, "none").lines.empty());
 }
 
-TEST(request_story, keeps_the_context_that_is_nearest_and_says_how_much_it_left_out)
+TEST(request_timeline, keeps_the_context_that_is_nearest_and_says_how_much_it_left_out)
 {
     std::string text;
     for (int at = 0; at < 100; ++at) {
         text += event(at, "a", "feeds_source", R"("source":"store")");
     }
-    const auto story =
-        find_story(parse_log(text + event(200, "a", "request_ended", R"("request":"x1")")), "x1");
-    EXPECT_EQ(story.left_out, 60U);
-    EXPECT_EQ(story.lines.front().line.time, milliseconds(60));
-    EXPECT_EQ(story.lines.size(), 41U);
+    const auto timeline =
+        build_timeline(parse_log(text + event(200, "a", "request_ended", R"("request":"x1")")), "x1");
+    EXPECT_EQ(timeline.left_out, 60U);
+    EXPECT_EQ(timeline.lines.front().line.time, milliseconds(60));
+    EXPECT_EQ(timeline.lines.size(), 41U);
 }
 
 } // namespace
--- a/tests/ctl/span_tree_tests.cpp
+++ b/tests/ctl/span_tree_tests.cpp
@@ -24,25 +24,25 @@
     const auto spans =
         parse_spans(line("c", "a", "second", 3000000, 4000000) + line("b", "a", "first", 1500000, 2000000) +
                     line("a", "", "entry.call", 1000000, 5000000));
-    const auto hops = tree_of(spans, trace_id);
+    const auto hops = build_tree(spans, trace_id);
     ASSERT_EQ(hops.size(), 1U);
     ASSERT_EQ(hops.front().children.size(), 2U);
     EXPECT_EQ(hops.front().children[0].span.name, "first");
     EXPECT_EQ(hops.front().children[1].span.name, "second");
-    const auto text = text_tree(trace_id, hops);
+    const auto text = tree_text(trace_id, hops);
     EXPECT_NE(text.find("  first     vg-entry  aph-1  +0.500    0.500"), std::string::npos) << text;
 }
 
 TEST(span_tree, keeps_a_hop_whose_caller_wrote_no_span)
 {
     const auto spans = parse_spans(line("b", "gone", "target.call", 1, 2));
-    EXPECT_EQ(tree_of(spans, trace_id).size(), 1U);
+    EXPECT_EQ(build_tree(spans, trace_id).size(), 1U);
 }
 
 TEST(span_tree, ends_for_spans_that_name_each_other_as_parents)
 {
     const auto spans = parse_spans(line("a", "b", "one", 1, 2) + line("b", "a", "two", 1, 2));
-    const auto hops = tree_of(spans, trace_id);
+    const auto hops = build_tree(spans, trace_id);
     ASSERT_EQ(hops.size(), 1U);
     EXPECT_EQ(hops.front().children.size(), 1U);
 }
