--- a/src/base/address.hpp
+++ b/src/base/address.hpp
@@ -10,11 +10,11 @@
 namespace vanillagauge {
 
 struct endpoint {
-    std::string host;       ///< an IP number
-    std::uint16_t port = 0; ///< 0: any free one, where the address is to listen on
+    std::string host;       ///< an IP address
+    std::uint16_t port = 0; ///< 0: any free port, for a listening address
 };
 
-/// `invalid_argument` where the text is no such address.
+/// `invalid_argument` if the text is not an IP:PORT address.
 result<endpoint> parse_endpoint(const std::string& address);
 
 } // namespace vanillagauge
--- a/src/base/base.hpp
+++ b/src/base/base.hpp
@@ -1,4 +1,4 @@
-/// Ids, results, errors and clocks that every library of the project uses.
+/// Addresses, clocks, digests, errors and results, used by every library.
 #ifndef VANILLAGAUGE_BASE_BASE_HPP
 #define VANILLAGAUGE_BASE_BASE_HPP
 
--- a/src/base/clock.hpp
+++ b/src/base/clock.hpp
@@ -1,4 +1,4 @@
-/// The clocks of the project. Pure libraries take a time_point and never read a clock themselves.
+/// Clock types. Pure libraries take a time_point as a parameter and never read a clock.
 #ifndef VANILLAGAUGE_BASE_CLOCK_HPP
 #define VANILLAGAUGE_BASE_CLOCK_HPP
 
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Whole milliseconds from `from` to `to`; 0 where `to` lies before `from`.
+/// Whole milliseconds from `from` to `to`; 0 if `to` is before `from`.
 milliseconds milliseconds_between(time_point from, time_point to);
 
 } // namespace vanillagauge
--- a/src/base/digest.hpp
+++ b/src/base/digest.hpp
@@ -1,5 +1,4 @@
-/// Content digests (XXH3, 64 bit): they detect truncated or crossed answers, and are no proof against
-/// forgery.
+/// Content digests (XXH3, 64 bit) that detect truncated or swapped responses; no protection against forgery.
 #ifndef VANILLAGAUGE_BASE_DIGEST_HPP
 #define VANILLAGAUGE_BASE_DIGEST_HPP
 
--- a/src/base/error.hpp
+++ b/src/base/error.hpp
@@ -1,4 +1,4 @@
-/// The typed failure that every operation of the project answers with.
+/// The error type of all operations.
 #ifndef VANILLAGAUGE_BASE_ERROR_HPP
 #define VANILLAGAUGE_BASE_ERROR_HPP
 
@@ -31,23 +31,23 @@
     internal,
 };
 
-/// Whether the failed operation had an effect. `not_run` is a promise; what is not known is `in_doubt`.
+/// Whether the failed operation was executed. `not_run` is guaranteed; an unknown outcome is `in_doubt`.
 enum class run_state { not_run, ran, in_doubt };
 
 struct error {
     error_code code = error_code::internal;
     run_state ran = run_state::not_run;
     std::string detail{};
-    milliseconds retry_after{0}; ///< 0: no advice
+    milliseconds retry_after{0}; ///< 0: none given
     std::string redirect{};      ///< the address to use instead, for wrong_node
-    std::string current{};       ///< the object as it stands, as JSON, for conflict
+    std::string current{};       ///< the current object as JSON, for conflict
 };
 
 /// The code's name on the wire and in logs.
 std::string_view name(error_code code);
 std::string_view name(run_state state);
 
-/// `internal` and `in_doubt` for a name that is not known.
+/// `internal` and `in_doubt` for an unknown name.
 error_code parse_error_code(std::string_view text);
 run_state parse_run_state(std::string_view text);
 
--- a/src/base/result.hpp
+++ b/src/base/result.hpp
@@ -1,4 +1,4 @@
-/// A value or the typed error that stands in its place.
+/// A value or an error.
 #ifndef VANILLAGAUGE_BASE_RESULT_HPP
 #define VANILLAGAUGE_BASE_RESULT_HPP
 
@@ -12,7 +12,7 @@
 template <class Value>
 using result = std::variant<Value, error>;
 
-/// The value of an operation that yields none.
+/// The value of an operation without a result.
 struct done {};
 
 template <class Value>
@@ -21,7 +21,7 @@
     return std::holds_alternative<Value>(outcome);
 }
 
-/// The value; throws std::bad_variant_access where there is none.
+/// The value; throws std::bad_variant_access on an error.
 template <class Value>
 Value& value(result<Value>& outcome)
 {
@@ -40,7 +40,7 @@
     return std::get<Value>(std::move(outcome));
 }
 
-/// The error; throws std::bad_variant_access where there is none.
+/// The error; throws std::bad_variant_access on a value.
 template <class Value>
 const error& failure(const result<Value>& outcome)
 {
--- a/src/objects/call_budget.cpp
+++ b/src/objects/call_budget.cpp
@@ -11,9 +11,8 @@
                       limits_.min_calls_per_second, limits_.max_calls_per_second);
 }
 
-// After an outage every program has something to write. Whoever writes first would take the calls that the
-// leases need, and owners would lose their leases to a flood of status. So the last calls are kept for
-// leases, and a part for the configuration.
+// After an outage every program has writes pending. Status writes could exhaust the budget, and lease holders
+// would fail to renew in time. So some tokens are reserved for leases, and more for leases and configuration.
 double call_budget::reserved_above(call_priority priority) const
 {
     switch (priority) {
--- a/src/objects/object_client.cpp
+++ b/src/objects/object_client.cpp
@@ -70,7 +70,7 @@
     return item.version == 0 || item.deleted ? "none" : "version " + std::to_string(item.version);
 }
 
-/// The object that stands, for the operator whose change it keeps out.
+/// The current object, shown to the operator whose change conflicts with it; empty if there is none.
 std::string to_json(const stored_object& item)
 {
     if (item.version == 0 || item.deleted) {
@@ -102,7 +102,7 @@
     error failure{error_code::conflict, run_state::in_doubt,
                   "the reply to the write of " + current.kind + "/" + current.name + " was lost, and " +
                       version_text(current) +
-                      " of somebody else stands now: it may have replaced this change"};
+                      " of another writer is current: it may have replaced this change"};
     failure.current = to_json(current);
     return failure;
 }
@@ -137,7 +137,8 @@
     }
     ++counts_.over_budget;
     return error{error_code::overloaded, run_state::not_run,
-                 "this VM's share of the platform's calls is used up", budget_.retry_after(priority)};
+                 "this VM has used up its share of the Object API's call rate",
+                 budget_.retry_after(priority)};
 }
 
 void object_client::record_health(bool answered, time_point sent)
@@ -222,12 +223,11 @@
                                });
 }
 
-// A write can take effect while its reply is lost. Sending it again would meet its own version as a conflict,
-// and calling it failed would let an operator's change come into force after all. The object names the
-// operation that made it, so reading it back tells. An object still at the expected version may yet change:
-// the lost write can be under way, so it is read again before the outcome is called unknown. A version of
-// somebody else may have been made from ours or in place of ours: both look the same, so neither "conflict,
-// not run" nor "written" would be true.
+// A write can be applied although its reply is lost. A retry would then conflict with its own version, and an
+// error would be wrong once the change took effect. The object holds the id of the operation that wrote it,
+// so reading it back gives the outcome. At the expected version the write may still be in flight: the object
+// is read several times before the outcome is reported as unknown. Another writer's version may be based on
+// ours or may have replaced the one before it: neither "conflict, not run" nor "written" would be certain.
 void object_client::read_back(const object_write& change, const std::string& operation_id, int attempts_left,
                               std::function<void(write_outcome)> on_done)
 {
@@ -249,7 +249,7 @@
             }
             if (attempts_left == 0) {
                 on_done(error{error_code::unavailable, run_state::in_doubt,
-                              "the store did not say whether the write to " + change.kind + "/" +
+                              "could not read back from the store whether the write to " + change.kind + "/" +
                                   change.name + " took effect"});
                 return;
             }
--- a/src/objects/object_client.hpp
+++ b/src/objects/object_client.hpp
@@ -1,4 +1,4 @@
-/// The Object API's client: conditional writes whose outcome is always known or said to be unknown.
+/// Object API client: conditional writes whose outcome is either known or reported as unknown.
 #ifndef VANILLAGAUGE_OBJECTS_OBJECT_CLIENT_HPP
 #define VANILLAGAUGE_OBJECTS_OBJECT_CLIENT_HPP
 
@@ -35,7 +35,7 @@
     bool remove = false;
 };
 
-/// The condition failed: somebody else's version stands.
+/// The condition failed: the current version is another writer's.
 struct write_conflict {
     stored_object current;
 };
@@ -44,21 +44,22 @@
     std::uint64_t version = 0;
 };
 
-/// The reply was lost and somebody else's later version stands: whether this write was in force in between
-/// cannot be told any more. It is not now.
+/// The reply was lost and another writer's later version is current: whether this write was applied in
+/// between is unknown. It is not in effect now.
 struct write_superseded {
     stored_object current;
 };
 
 using write_outcome = std::variant<written, write_conflict, write_superseded, error>;
 
-/// The version written, or what the caller of the write is told in its place.
+/// The version written, or the error for the caller: `conflict` where the condition failed or the write was
+/// superseded.
 result<written> to_result(const write_outcome& outcome, std::uint64_t expected_version);
 
 struct watch_events {
     std::vector<stored_object> objects;
     std::uint64_t revision = 0;
-    bool compacted = false; ///< the asked revision is too old: list again
+    bool compacted = false; ///< the requested revision is too old: list again
 };
 
 struct listing {
@@ -66,13 +67,13 @@
     std::uint64_t revision = 0;
 };
 
-/// Calls since the start of the process.
+/// Number of calls since the start of the process.
 struct call_counts {
     std::uint64_t reads = 0;
     std::uint64_t writes = 0;
     std::uint64_t lists = 0;
     std::uint64_t watches = 0;
-    std::uint64_t over_budget = 0; ///< not made
+    std::uint64_t over_budget = 0; ///< rejected by the budget, not sent
 };
 
 class object_client {
@@ -80,22 +81,22 @@
     /// Both must outlive the client and its calls.
     object_client(wire::channel& channel, wire::event_loop& loop);
 
-    /// Each call has a priority in the VM's budget; one beyond it is refused at once, not run, with the time
-    /// to come back.
+    /// Each call has a priority in the VM's budget; one that exceeds it fails at once with `overloaded`, not
+    /// run, and a retry-after time.
     void read(const std::string& kind, const std::string& name,
               std::function<void(result<std::optional<stored_object>>)> on_done,
               call_priority priority = call_priority::config);
-    /// An unknown outcome is resolved by reading back the operation id; `in_doubt` or `write_superseded`
-    /// where that cannot tell.
+    /// After a lost reply the object is read back and its operation id compared; `in_doubt` or
+    /// `write_superseded` if that does not give the outcome.
     void write_object(const object_write& change, std::function<void(write_outcome)> on_done,
                       call_priority priority = call_priority::config);
     void list(const std::string& kind, std::function<void(result<listing>)> on_done,
               call_priority priority = call_priority::config);
-    /// Waits on the platform's side until something changes or `wait` is over.
+    /// Long poll: the platform replies on a change or after `wait`.
     void watch(const std::vector<std::string>& kinds, std::uint64_t since, milliseconds wait,
                std::function<void(result<watch_events>)> on_done);
 
-    /// The fleet's size, which sets this VM's share of the calls.
+    /// The number of VMs, which sets this VM's share of the call rate.
     void set_fleet_size(std::size_t vms);
     call_counts counts() const;
     store_state health() const;
@@ -108,7 +109,7 @@
     store_health health_;
     call_counts counts_;
 
-    /// The refusal, where the call is beyond the budget; otherwise the call is counted.
+    /// Takes a token and counts the call; the error if the budget is exhausted.
     std::optional<error> acquire_budget(call_priority priority, std::uint64_t call_counts::*counter);
     void record_health(bool answered, time_point sent);
 
--- a/src/objects/objects.hpp
+++ b/src/objects/objects.hpp
@@ -1,6 +1,6 @@
-/// Clients of the platform: objects, the list of VMs, and the weight store.
-#ifndef VANILLAGAUGE_OBJECTS_PLATFORM_HPP
-#define VANILLAGAUGE_OBJECTS_PLATFORM_HPP
+/// Client of the platform's Object API.
+#ifndef VANILLAGAUGE_OBJECTS_OBJECTS_HPP
+#define VANILLAGAUGE_OBJECTS_OBJECTS_HPP
 
 #include "objects/object_client.hpp"
 
--- a/src/objects/store_health.cpp
+++ b/src/objects/store_health.cpp
@@ -3,9 +3,9 @@
 namespace vanillagauge::objects {
 namespace {
 
-/// The store answers in milliseconds; at a hundred times that, operators should know before anything fails.
+/// A hundred times the usual latency of a few milliseconds: warns operators before calls fail.
 constexpr milliseconds slow_latency{500};
-/// One lost call is no outage. Calls come every few seconds, so three take at most some ten seconds.
+/// Consecutive failures. Calls are made every few seconds, so an outage is detected within about ten seconds.
 constexpr int outage_failures = 3;
 constexpr int mean_window = 4;
 
--- a/src/objects/store_health.hpp
+++ b/src/objects/store_health.hpp
@@ -1,4 +1,4 @@
-/// Tells an outage of the Object API from slowness, by the calls that are made anyway.
+/// Derives the state of the Object API (up, slow, down) from regular calls, without probes.
 #ifndef VANILLAGAUGE_OBJECTS_STORE_HEALTH_HPP
 #define VANILLAGAUGE_OBJECTS_STORE_HEALTH_HPP
 
@@ -17,8 +17,8 @@
     store_state state() const;
 
 private:
-    milliseconds mean_latency_{0}; ///< a moving mean of the answers' times
-    int failures_ = 0;             ///< since the last answer
+    milliseconds mean_latency_{0}; ///< moving average of the response times
+    int failures_ = 0;             ///< since the last response
     bool has_response_ = false;
 };
 
--- a/tests/base/address_tests.cpp
+++ b/tests/base/address_tests.cpp
@@ -5,7 +5,7 @@
 namespace vanillagauge {
 namespace {
 
-TEST(address, is_an_ip_number_and_a_port)
+TEST(address, accepts_an_ip_address_and_a_port)
 {
     const auto parsed = parse_endpoint("10.1.0.10:8161");
     ASSERT_TRUE(ok(parsed));
@@ -14,7 +14,7 @@
     EXPECT_TRUE(ok(parse_endpoint("127.0.0.1:0"))) << "any free port";
 }
 
-TEST(address, of_any_other_form_is_refused_with_what_was_found)
+TEST(address, rejects_other_forms_and_quotes_the_input)
 {
     for (const auto* text : {"", "10.1.0.10", "10.1.0.10:", ":80", "host:80", "10.1.0.10:80x",
                              "10.1.0.10:65536", "10.1.0.10:-1", "10.1.0:80:80"}) {
--- a/tests/objects/call_budget_tests.cpp
+++ b/tests/objects/call_budget_tests.cpp
@@ -19,8 +19,8 @@
     return made;
 }
 
-// The store returns from an outage and everything has a status to write. Leases must still be renewed.
-TEST(call_budget, a_flood_of_status_leaves_calls_for_configuration_and_leases)
+// Guards against status writes that exhaust the budget after an outage, so that leases are not renewed.
+TEST(call_budget, status_calls_leave_tokens_for_configuration_and_leases)
 {
     call_budget budget;
     EXPECT_GT(calls_made(budget, call_priority::status, start, 1000), 0);
@@ -29,7 +29,7 @@
     EXPECT_EQ(calls_made(budget, call_priority::lease, start, 1000), 0);
 }
 
-TEST(call_budget, all_vms_together_stay_within_the_stated_rate)
+TEST(call_budget, the_fleet_stays_within_its_call_rate)
 {
     constexpr std::size_t span = 100;
     for (const std::size_t members : {8U, 350U}) {
@@ -47,7 +47,7 @@
     }
 }
 
-TEST(call_budget, a_refused_call_may_be_made_after_the_time_it_is_told)
+TEST(call_budget, a_rejected_call_succeeds_after_its_retry_after_time)
 {
     call_budget budget;
     calls_made(budget, call_priority::status, start, 1000);
@@ -56,10 +56,10 @@
     EXPECT_TRUE(budget.try_acquire(call_priority::status, start + wait));
 }
 
-TEST(store_health, tells_a_slow_store_from_one_that_is_down)
+TEST(store_health, distinguishes_a_slow_store_from_an_outage)
 {
     store_health health;
-    EXPECT_EQ(health.state(), store_state::down) << "never heard";
+    EXPECT_EQ(health.state(), store_state::down) << "no response yet";
     health.record_response(milliseconds{3});
     EXPECT_EQ(health.state(), store_state::up);
     health.record_failure();
--- a/tests/objects/object_client_tests.cpp
+++ b/tests/objects/object_client_tests.cpp
@@ -12,7 +12,7 @@
 
 namespace pb = ::platform::v1;
 
-/// Answers each call with the next of the prepared answers, without a network.
+/// Replies to each call with the next prepared reply, without a network.
 class scripted_channel final : public wire::channel {
 public:
     std::deque<std::function<result<std::string>(const std::string& body)>> replies;
@@ -55,8 +55,8 @@
     return outcome.get_future().get();
 }
 
-// The store applies a write and its reply is lost. The operator must be told that it is in force.
-TEST(object_client, a_write_with_a_lost_reply_is_written_where_it_is_read_back)
+// Guards against reporting an applied write as failed because its reply was lost.
+TEST(object_client, reports_written_when_the_read_back_finds_its_operation)
 {
     scripted_channel channel;
     std::string operation;
@@ -72,9 +72,9 @@
     EXPECT_EQ(std::get<written>(outcome).version, 6U);
 }
 
-// The store applies a write, its reply is lost, and another operator changes the object from our version
-// before we read it back. "Conflict, not run" would be a lie: the change was in force for a while.
-TEST(object_client, a_write_with_a_lost_reply_that_was_overwritten_is_not_called_not_run)
+// Guards against reporting "conflict, not run" for a write that may have been applied: its reply was lost and
+// another operator changed the object before the read-back.
+TEST(object_client, reports_in_doubt_when_a_later_version_follows_a_lost_reply)
 {
     scripted_channel channel;
     channel.replies.emplace_back([](const std::string&) { return lost_reply(); });
@@ -84,8 +84,8 @@
     EXPECT_EQ(failure(to_result(outcome, 5)).ran, run_state::in_doubt);
 }
 
-// The write is still under way when the object is read back first, and takes effect after that.
-TEST(object_client, a_write_that_takes_effect_late_is_found_by_reading_again)
+// Guards against giving up when the write is applied only after the first read-back.
+TEST(object_client, repeats_the_read_back_until_a_late_write_is_applied)
 {
     scripted_channel channel;
     std::string operation;
@@ -100,7 +100,7 @@
     EXPECT_TRUE(std::holds_alternative<written>(write_through(channel, 5)));
 }
 
-TEST(object_client, a_refused_condition_is_a_conflict_that_did_not_run)
+TEST(object_client, reports_a_failed_condition_as_a_conflict_not_run)
 {
     scripted_channel channel;
     channel.replies.emplace_back([](const std::string&) -> result<std::string> {
