--- a/src/observe/internal/line_queue.cpp
+++ b/src/observe/internal/line_queue.cpp
@@ -9,7 +9,7 @@
 namespace vanillagauge::observe::internal {
 namespace {
 
-/// How often a writer whose reader takes nothing looks whether the program ends.
+/// How often a writer blocked by its reader checks whether the queue is being destroyed.
 constexpr int poll_interval_ms = 100;
 
 } // namespace
@@ -29,7 +29,7 @@
     writer_.join();
 }
 
-// A reader that stops reading would otherwise stop the program at its next line, with every request in
+// A blocking write to a stalled reader would block the program at its next log line, with all requests in
 // flight.
 void line_queue::push(std::string line)
 {
@@ -82,12 +82,12 @@
             }
             continue;
         }
-        // No more than a pipe takes without waiting once it is writable.
+        // PIPE_BUF: a writable pipe accepts this much without blocking.
         constexpr std::size_t max_write_bytes = 4096;
         const auto size = std::min(line.size() - written, max_write_bytes);
         const auto count = ::write(descriptor_, line.data() + written, size);
         if (count < 0 && errno != EINTR && errno != EAGAIN) {
-            return true; // nobody reads any more: the line is lost
+            return true; // e.g. the reader closed the pipe: the line is lost
         }
         written += count > 0 ? static_cast<std::size_t>(count) : 0;
     }
--- a/src/observe/internal/line_queue.hpp
+++ b/src/observe/internal/line_queue.hpp
@@ -1,4 +1,4 @@
-/// Lines on their way to a file descriptor, written by a thread of their own.
+/// A bounded queue of lines, written to a file descriptor by its own thread.
 #ifndef VANILLAGAUGE_OBSERVE_INTERNAL_LINE_QUEUE_HPP
 #define VANILLAGAUGE_OBSERVE_INTERNAL_LINE_QUEUE_HPP
 
@@ -13,14 +13,14 @@
 
 class line_queue {
 public:
-    /// Keeps at most `most_bytes` that are not written yet.
+    /// Queues at most `max_bytes` of unwritten lines.
     line_queue(int descriptor, std::size_t max_bytes);
-    /// Writes what the reader still takes within a moment; the rest is lost.
+    /// Drains the queue until the descriptor is not writable for a poll interval; drops the rest.
     ~line_queue();
     line_queue(const line_queue&) = delete;
     line_queue& operator=(const line_queue&) = delete;
 
-    /// Never waits for the reader: a line beyond the bound is dropped and counted.
+    /// Never blocks on the reader: a line that exceeds the bound is dropped and counted.
     void push(std::string line);
     std::uint64_t dropped() const;
 
@@ -32,7 +32,7 @@
     std::deque<std::string> lines_;
     std::size_t bytes_ = 0;
     std::uint64_t dropped_ = 0;
-    std::uint64_t reported_dropped_ = 0; ///< of the dropped lines, how many a written line has told of
+    std::uint64_t reported_dropped_ = 0; ///< dropped lines already reported in the output
     bool stopping_ = false;
     std::thread writer_;
 
--- a/src/observe/json_text.hpp
+++ b/src/observe/json_text.hpp
@@ -1,4 +1,4 @@
-/// Quoting of a string for a JSON line.
+/// JSON string quoting.
 #ifndef VANILLAGAUGE_OBSERVE_JSON_TEXT_HPP
 #define VANILLAGAUGE_OBSERVE_JSON_TEXT_HPP
 
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -29,7 +29,7 @@
     return shared;
 }
 
-/// Some two thousand lines: what a busy gateway writes in ten seconds.
+/// About two thousand lines, ten seconds of a busy gateway's log.
 constexpr std::size_t max_queued_bytes = 512U << 10U;
 
 class queue_writer final : public log4cxx::helpers::Writer {
@@ -115,7 +115,7 @@
 void log(log_level level, std::string_view event, std::initializer_list<log_field> fields)
 {
     const auto log4cxx_level = to_level(level);
-    // A program without a log would have log4cxx complain of it on standard error, in a form of its own.
+    // Without an appender, log4cxx prints a warning on standard error that is not a JSON line.
     if (fixed_fields().empty() || !logger()->isEnabledFor(log4cxx_level)) {
         return;
     }
--- a/src/observe/log.hpp
+++ b/src/observe/log.hpp
@@ -1,4 +1,4 @@
-/// Structured logs: one JSON object a line, through log4cxx.
+/// Structured logging through log4cxx: one JSON object per line.
 #ifndef VANILLAGAUGE_OBSERVE_LOG_HPP
 #define VANILLAGAUGE_OBSERVE_LOG_HPP
 
@@ -19,15 +19,15 @@
 
 enum class log_sink {
     standard_error,
-    /// Through a bounded queue: a reader that takes nothing costs lines, never time.
+    /// Through a bounded queue: if the reader stalls, lines are dropped and the program is not blocked.
     standard_output,
 };
 
-/// Starts the log of this process. Call once, before other threads start.
+/// Configures the log of this process. Call once, before other threads start.
 void start_log(std::string_view program, std::string_view vm, log_level min_level,
                log_sink sink = log_sink::standard_error);
 
-/// Writes one event. An event's name, level and field names are constants of the code.
+/// Writes one event; ignored before start_log. Event and field names are string literals, never data.
 void log(log_level level, std::string_view event, std::initializer_list<log_field> fields = {});
 
 } // namespace vanillagauge::observe
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -47,12 +47,12 @@
     return {series.substr(0, brace), series.substr(brace + 1, series.size() - brace - 2)};
 }
 
-/// One metric family of the page: its type and its lines.
+/// A Prometheus metric family.
 struct family {
     const char* type = "";
     std::string lines;
 };
-/// By name, since Prometheus wants the lines of a family together.
+/// By name: the text format requires the lines of a family in one group.
 using families = std::map<std::string, family, std::less<>>;
 
 template <class Number>
--- a/src/observe/metrics.hpp
+++ b/src/observe/metrics.hpp
@@ -14,7 +14,7 @@
 
 namespace vanillagauge::observe {
 
-/// Safe for several threads: series are spread over shards, each under its own lock.
+/// Thread-safe: series are distributed over shards, each with its own lock.
 class metrics {
 public:
     metrics();
--- a/src/observe/observe.hpp
+++ b/src/observe/observe.hpp
@@ -1,4 +1,4 @@
-/// Logs, metrics and spans of the programs.
+/// Logging, metrics and tracing.
 #ifndef VANILLAGAUGE_OBSERVE_OBSERVE_HPP
 #define VANILLAGAUGE_OBSERVE_OBSERVE_HPP
 
--- a/src/observe/trace.hpp
+++ b/src/observe/trace.hpp
@@ -10,31 +10,30 @@
 
 namespace vanillagauge::observe {
 
-/// The place of a hop in its trace; hexadecimal ids as in the traceparent header.
+/// A span's trace id and span id, hexadecimal as in the traceparent header.
 struct trace_context {
     std::string trace_id; ///< 32 digits
     std::string span_id;  ///< 16 digits
 };
 
-/// A context for a new trace.
+/// A context with a random trace id and no span.
 trace_context new_trace();
 
-/// The trace of what bears this id: the same in every program.
+/// A context whose trace id is derived from `id`, so that every program gets the same one.
 trace_context trace_from_id(std::string_view id);
 
-/// The context a traceparent header carries; a new trace where the header is absent or malformed.
+/// The context of a traceparent header; a new trace if the header is missing or malformed.
 trace_context parse_traceparent(std::string_view header);
 std::string traceparent(const trace_context& context);
-/// The field of a request that carries it.
 constexpr const char* traceparent_header = "traceparent";
 
-/// Names the file that spans are appended to; an empty path turns them off. Call once at start.
+/// Opens the file that spans are appended to; an empty path disables spans. Call once at startup.
 void open_span_file(const std::string& path, std::string_view program, std::string_view vm);
 
-/// One hop: from construction to destruction, unless ended before.
+/// One operation of a trace, timed from construction to end() or destruction.
 class span {
 public:
-    /// A child of `parent`.
+    /// Starts a child of `parent`.
     span(const trace_context& parent, std::string_view name);
     ~span();
     span(const span&) = delete;
@@ -43,7 +42,7 @@
     span& operator=(span&&) = delete;
 
     const trace_context& context() const { return context_; }
-    /// Records a decision or an outcome on the hop.
+    /// Records a decision or an outcome; dropped if spans are disabled.
     void set_attribute(std::string_view key, std::string_view value);
     void end();
 
--- a/tests/observe/line_queue_tests.cpp
+++ b/tests/observe/line_queue_tests.cpp
@@ -10,7 +10,7 @@
 namespace vanillagauge::observe::internal {
 namespace {
 
-TEST(line_queue, writes_lines_in_their_order)
+TEST(line_queue, writes_lines_in_order)
 {
     std::array<int, 2> pipe{};
     ASSERT_EQ(::pipe(pipe.data()), 0);
@@ -29,9 +29,8 @@
     ::close(pipe[1]);
 }
 
-// Whoever collects the logs stops reading. The program goes on at full speed and says later how much is
-// missing.
-TEST(line_queue, never_waits_for_a_reader_that_stopped)
+// Guards against blocking the program when the log's reader stalls; lines are dropped and counted.
+TEST(line_queue, drops_lines_when_the_reader_stalls)
 {
     std::array<int, 2> pipe{};
     ASSERT_EQ(::pipe(pipe.data()), 0);
--- a/tests/observe/metrics_tests.cpp
+++ b/tests/observe/metrics_tests.cpp
@@ -20,7 +20,7 @@
     EXPECT_NE(page.find("quantile=\"0.99"), std::string::npos) << page;
 }
 
-TEST(metrics_page, names_each_type_once_with_its_lines_together)
+TEST(metrics_page, groups_the_lines_of_a_family_under_one_type)
 {
     metrics series;
     series.add("calls_total{code=\"ok\"}");
@@ -38,7 +38,7 @@
     EXPECT_NE(page.find("call_seconds_count{kind=\"b\"} 1"), std::string::npos) << page;
 }
 
-TEST(traceparent_header, survives_a_hop)
+TEST(traceparent_header, round_trips)
 {
     const trace_context sent{"0af7651916cd43dd8448eb211c80319c", "b7ad6b7169203331"};
     const auto received = parse_traceparent(traceparent(sent));
@@ -46,7 +46,7 @@
     EXPECT_EQ(received.span_id, sent.span_id);
 }
 
-TEST(traceparent_header, that_is_malformed_starts_a_new_trace)
+TEST(traceparent_header, starts_a_new_trace_if_malformed)
 {
     EXPECT_EQ(parse_traceparent("00-zz-11-01").trace_id.size(), 32U);
     EXPECT_EQ(parse_traceparent("").trace_id.size(), 32U);
