--- a/src/ctl/advice.hpp
+++ b/src/ctl/advice.hpp
@@ -1,4 +1,4 @@
-/// What an operator should do after a command has failed.
+/// Advice and exit codes for failed commands.
 #ifndef VANILLAGAUGE_CTL_ADVICE_HPP
 #define VANILLAGAUGE_CTL_ADVICE_HPP
 
@@ -8,10 +8,10 @@
 
 namespace vanillagauge::ctl {
 
-/// The next step, as one line.
+/// The suggested next step for the operator, on one line.
 std::string advice(const error& failure);
 
-/// The process's exit code: scripts tell a conflict and an unknown outcome from other failures.
+/// The process's exit code; a conflict and an unknown outcome have codes of their own for scripts.
 int exit_code(const error& failure);
 
 constexpr int exit_conflict = 4;
--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -6,7 +6,7 @@
 namespace vanillagauge::ctl {
 namespace {
 
-/// The version the keeper holds, for a change that names none; 0 where there is no object.
+/// The keeper's current version of the object; 0 if there is none.
 result<std::uint64_t> current_version(const session& keeper, const std::string& kind, const std::string& name)
 {
     v1::GetRequest request;
@@ -22,8 +22,8 @@
     return failure(reply);
 }
 
-/// The version that the change is conditional on. A change that lands between this read and the apply makes
-/// the apply a conflict, so it is never overwritten unseen.
+/// The version that the write is conditional on. If the object changes between this read and the apply, the
+/// apply fails with a conflict instead of overwriting the change.
 result<std::uint64_t> base_version(const session& keeper, const declared_object& declared,
                                    const std::optional<std::uint64_t>& chosen)
 {
--- a/src/ctl/format.hpp
+++ b/src/ctl/format.hpp
@@ -1,4 +1,4 @@
-/// Tables and JSON as vgctl prints them.
+/// Output formats of vgctl: tables and JSON.
 #ifndef VANILLAGAUGE_CTL_FORMAT_HPP
 #define VANILLAGAUGE_CTL_FORMAT_HPP
 
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -51,7 +51,7 @@
     return to_outcome(checked);
 }
 
-/// Commands that ask no keeper; empty for the others.
+/// Runs a command that needs no keeper; empty for the others.
 std::optional<outcome> run_offline(const command_line& chosen)
 {
     const auto& words = chosen.words;
--- a/src/ctl/request_timeline.cpp
+++ b/src/ctl/request_timeline.cpp
@@ -13,18 +13,18 @@
 
 namespace {
 
-/// A belief that is older than this when the request came decides rarely; what a gateway knows is confirmed
-/// every second or so.
+/// How far before the request a state change is included. Gateways refresh their state about every second, so
+/// older changes rarely matter.
 constexpr milliseconds context_window{10000};
-/// Enough for an evening's reader; the lines nearest to the request are kept.
+/// Keeps the output readable; the lines nearest to the request are kept.
 constexpr std::size_t max_context_lines = 40;
 
-/// Beliefs of a whole VM: they count where that VM handled the request.
+/// State changes of a VM, included if the VM handled the request.
 constexpr std::array vm_events{"ready",         "stop_requested",        "stopped",
                                "store_lost",    "store_reached_again",   "feeds_lost",
                                "feeds_source",  "feed_history_gone",     "configuration_in_force",
                                "reload_failed", "machine_was_suspended", "version_named"};
-/// Who ordered weights: few, and they count wherever they were written, for batches.
+/// Changes of the lease for ordering weights: rare, so included from every VM for items of batches.
 constexpr std::array lease_events{"lease_taken", "lease_lost", "lease_not_taken", "lease_not_renewed",
                                   "lease_given_up"};
 
@@ -85,7 +85,7 @@
            (of_batch && is_one_of(lease_events, line.event));
 }
 
-/// The context that lies nearest before the end of the request.
+/// Adds the latest context lines, at most max_context_lines, and counts the omitted ones.
 void add_context(request_timeline& timeline, std::vector<timeline_entry> context)
 {
     if (context.size() > max_context_lines) {
--- a/src/ctl/request_timeline.hpp
+++ b/src/ctl/request_timeline.hpp
@@ -1,5 +1,5 @@
-/// What the collected logs of all VMs say about one request, batch or item: its own lines, and the changes of
-/// belief that its decisions rested on.
+/// Timeline of one request, batch or item from the collected logs of all VMs: its own lines and the preceding
+/// state changes that explain its decisions.
 #ifndef VANILLAGAUGE_CTL_REQUEST_TIMELINE_HPP
 #define VANILLAGAUGE_CTL_REQUEST_TIMELINE_HPP
 
@@ -13,17 +13,17 @@
 namespace vanillagauge::ctl {
 
 struct log_line {
-    milliseconds time{0}; ///< since 1970, by the clock of the VM that wrote it
+    milliseconds time{0}; ///< since the Unix epoch, by the writing VM's clock
     std::string level;
     std::string vm;
     std::string event;
-    nlohmann::json fields; ///< all that the event says besides
+    nlohmann::json fields; ///< the event's other fields
 };
 
 enum class line_role {
-    own,     ///< names the id
-    batch,   ///< names the batch of an item
-    context, ///< a belief of a VM that handled it, or of a replica that was tried
+    own,     ///< contains the id
+    batch,   ///< contains the id of the item's batch
+    context, ///< a state change of a VM that handled it or of a replica that was tried
 };
 
 struct timeline_entry {
@@ -33,15 +33,15 @@
 
 struct request_timeline {
     std::vector<timeline_entry> lines; ///< by time
-    std::size_t left_out = 0;          ///< lines of context beyond the bound
+    std::size_t left_out = 0;          ///< number of omitted context lines
 };
 
-/// Lines of one text; whatever stands before the first brace is a collector's, and lines that are no events
-/// are passed over: a process that was killed leaves half a line.
+/// Parses one text. A log collector's prefix before the first brace is ignored, and lines that are not events
+/// are skipped: a killed process can leave a truncated line.
 std::vector<log_line> parse_log(const std::string& text);
 result<std::vector<log_line>> read_logs(const std::vector<std::string>& files);
 
-/// Without lines where no event names the id.
+/// Empty if no event contains the id.
 request_timeline build_timeline(const std::vector<log_line>& lines, const std::string& id);
 
 std::string timeline_text(const std::string& id, const request_timeline& timeline);
--- a/src/ctl/session.hpp
+++ b/src/ctl/session.hpp
@@ -1,4 +1,4 @@
-/// What every command of vgctl works on: a channel to a keeper, and where and how it prints.
+/// Context of a vgctl command: the channel to a keeper, its token, and the output.
 #ifndef VANILLAGAUGE_CTL_SESSION_HPP
 #define VANILLAGAUGE_CTL_SESSION_HPP
 
--- a/src/ctl/span_tree.cpp
+++ b/src/ctl/span_tree.cpp
@@ -75,7 +75,7 @@
             append_spans(resource, into);
         }
     }
-    catch (const std::exception&) { // NOLINT(bugprone-empty-catch): no whole span on this line
+    catch (const std::exception&) { // NOLINT(bugprone-empty-catch): not a complete span
     }
 }
 
@@ -99,7 +99,7 @@
 
 using children_index = std::multimap<std::string, const span_record*>;
 
-/// `taken` keeps a file with a cycle of parents from making an endless tree.
+/// `visited` prevents endless recursion on a cycle of parents.
 span_node build_subtree(const span_record& span, const children_index& children,
                         std::set<std::string>& visited)
 {
--- a/tests/ctl/object_file_tests.cpp
+++ b/tests/ctl/object_file_tests.cpp
@@ -5,7 +5,7 @@
 namespace vanillagauge::ctl {
 namespace {
 
-TEST(object_file, holds_one_object_or_an_array)
+TEST(object_file, accepts_one_object_or_an_array)
 {
     const auto one = parse_objects(R"({"kind": "drain", "name": "a", "spec": {}})", "f");
     ASSERT_TRUE(ok(one)) << failure(one).detail;
@@ -18,21 +18,21 @@
     EXPECT_EQ(value(two)[1].object.version(), 7U);
 }
 
-TEST(object_file, says_where_it_is_wrong)
+TEST(object_file, reports_the_position_of_an_error)
 {
     const auto parsed = parse_objects(R"([{"kind": "drain", "name": "a"}, {"kind": "drain"}])", "f.json");
     ASSERT_FALSE(ok(parsed));
     EXPECT_NE(failure(parsed).detail.find("f.json: at /1"), std::string::npos) << failure(parsed).detail;
 }
 
-TEST(object_file, that_is_no_json_is_refused)
+TEST(object_file, rejects_text_that_is_not_json)
 {
     EXPECT_FALSE(ok(parse_objects("kind: drain", "f")));
     EXPECT_FALSE(ok(parse_objects("7", "f")));
     EXPECT_FALSE(ok(parse_objects("", "f")));
 }
 
-TEST(object_check, needs_no_keeper)
+TEST(object_check, validates_without_a_keeper)
 {
     const auto wrong =
         parse_objects(R"({"kind": "deployment", "name": "a", "spec": {"kind": "engin"}})", "f");
--- a/tests/ctl/request_timeline_tests.cpp
+++ b/tests/ctl/request_timeline_tests.cpp
@@ -20,9 +20,9 @@
     return events;
 }
 
-// A caller's check was refused since the gateway took every replica for gone. Its knowledge was old: the
-// store had been lost on that VM shortly before. What another VM believed has nothing to do with it.
-TEST(request_timeline, puts_what_the_deciding_vm_believed_before_the_refusal)
+// Guards against a rejected request shown without the loss of the store on its VM that caused it, or with
+// events of other VMs.
+TEST(request_timeline, includes_state_changes_of_the_vm_before_a_rejection)
 {
     const auto lines =
         parse_log(event(50, "a", "configuration_in_force", R"("version":2)") +
@@ -40,8 +40,8 @@
         << text;
 }
 
-// A sample came late: its batch went to another VM, and the engines got their weights late.
-TEST(request_timeline, joins_an_item_with_its_batch_and_with_the_orders_of_weights)
+// Guards against a late item shown without the move of its batch to another VM and the late weight orders.
+TEST(request_timeline, joins_an_item_with_its_batch_and_the_weight_orders)
 {
     const auto lines = parse_log(
         event(1000, "a", "batch_submitted", R"("request":"b1","outcome":"accepted")") +
@@ -60,7 +60,7 @@
                                   "b batch_taken", "c weights_ordered", "b item_completed"}));
 }
 
-TEST(request_timeline, passes_over_what_is_no_event_and_what_a_collector_puts_before_a_line)
+TEST(request_timeline, skips_collector_prefixes_and_lines_that_are_not_events)
 {
     const auto lines =
         parse_log("12.5 front-1 " + event(7, "a", "ready") + "half a li\n{\"event\":3}\n{\"time");
@@ -70,7 +70,7 @@
     EXPECT_TRUE(build_timeline(lines, "none").lines.empty());
 }
 
-TEST(request_timeline, keeps_the_context_that_is_nearest_and_says_how_much_it_left_out)
+TEST(request_timeline, keeps_the_nearest_context_and_counts_the_omitted_lines)
 {
     std::string text;
     for (int at = 0; at < 100; ++at) {
--- a/tests/ctl/span_tree_tests.cpp
+++ b/tests/ctl/span_tree_tests.cpp
@@ -19,7 +19,7 @@
            std::to_string(end) + R"(","attributes":[)" + attribute + "]}]}]}]}\n";
 }
 
-TEST(span_tree, puts_hops_under_the_hop_that_called_them_in_the_order_of_their_start)
+TEST(span_tree, sorts_children_under_their_parent_by_start_time)
 {
     const auto spans =
         parse_spans(line("c", "a", "second", 3000000, 4000000) + line("b", "a", "first", 1500000, 2000000) +
@@ -33,13 +33,13 @@
     EXPECT_NE(text.find("  first     vg-entry  aph-1  +0.500    0.500"), std::string::npos) << text;
 }
 
-TEST(span_tree, keeps_a_hop_whose_caller_wrote_no_span)
+TEST(span_tree, keeps_a_span_whose_parent_is_missing)
 {
     const auto spans = parse_spans(line("b", "gone", "target.call", 1, 2));
     EXPECT_EQ(build_tree(spans, trace_id).size(), 1U);
 }
 
-TEST(span_tree, ends_for_spans_that_name_each_other_as_parents)
+TEST(span_tree, terminates_on_a_cycle_of_parents)
 {
     const auto spans = parse_spans(line("a", "b", "one", 1, 2) + line("b", "a", "two", 1, 2));
     const auto hops = build_tree(spans, trace_id);
@@ -47,13 +47,13 @@
     EXPECT_EQ(hops.front().children.size(), 1U);
 }
 
-TEST(span_file, half_a_line_of_a_killed_program_is_passed_over)
+TEST(span_file, skips_a_truncated_line)
 {
     const auto whole = line("a", "", "entry.call", 1, 2);
     EXPECT_EQ(parse_spans(whole.substr(0, whole.size() / 2) + "\n" + whole).size(), 1U);
 }
 
-TEST(trace_search, takes_a_trace_id_a_traceparent_or_a_request_id)
+TEST(trace_search, accepts_a_trace_id_a_traceparent_or_a_request_id)
 {
     const auto spans = parse_spans(line("x", "", "other", 1, 2, "r-0", std::string(32, 'f')) +
                                    line("a", "", "entry.call", 1, 2, "r-1"));
