--- a/src/entry/plain_call.cpp
+++ b/src/entry/plain_call.cpp
@@ -41,7 +41,7 @@
       fingerprint_(policy::request_fingerprint(request_.deployment(), request_.method(), request_.body())),
       span_(trace, "entry.call"), on_done_(std::move(on_done))
 {
-    span_.note("request_id", request_.request_id());
+    span_.set_attribute("request_id", request_.request_id());
     work_.caller = request_.caller();
     work_.urgency = policy::parse_priority(request_.priority());
     work_.deadline = deadline;
@@ -80,7 +80,7 @@
         if (group_->limited()) {
             work_.tried.insert(endpoint.id);
         }
-        span_.note("placed", endpoint.id);
+        span_.set_attribute("placed", endpoint.id);
     }
     if (already_finished) {
         group_->release(endpoint.id);
@@ -91,7 +91,7 @@
     forward.set_method(request_.method());
     forward.set_body(request_.body());
     wire::call_options options;
-    options.timeout = std::max(milliseconds{1}, remaining(steady::now(), deadline_));
+    options.timeout = std::max(milliseconds{1}, milliseconds_between(steady::now(), deadline_));
     options.trace = span_.context();
     // After one broken connection other pooled ones may be broken too. A new connection to a lost target is
     // refused, which proves that the call did not run.
@@ -122,7 +122,7 @@
 void plain_call::arm_hedge(int number)
 {
     const auto delay = group_->hedge_delay();
-    if (delay >= remaining(steady::now(), deadline_)) {
+    if (delay >= milliseconds_between(steady::now(), deadline_)) {
         return;
     }
     context_.loop.after(delay, [weak = weak_from_this(), number] {
@@ -139,7 +139,7 @@
         if (finished_ || !running_.contains(number) || attempts_ != number) {
             return;
         }
-        span_.note("hedged", running_[number].target);
+        span_.set_attribute("hedged", running_[number].target);
     }
     retry();
 }
@@ -193,7 +193,7 @@
         const std::lock_guard lock(mutex_);
         ran_ = more_certain(ran_, failure.ran);
         last.ran = ran_;
-        span_.note("attempt_failed", describe(failure));
+        span_.set_attribute("attempt_failed", describe(failure));
     }
     if (others_running || (may_retry(failure) && retry())) {
         return;
@@ -217,7 +217,7 @@
         if (std::exchange(finished_, true)) {
             return;
         }
-        span_.note("outcome", ok(outcome) ? "ok" : describe(failure(outcome)));
+        span_.set_attribute("outcome", ok(outcome) ? "ok" : describe(failure(outcome)));
         span_.end();
     }
     cancel_others();
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -29,8 +29,8 @@
     return shared;
 }
 
-/// Some two thousand lines: what a busy gateway writes in ten seconds.
-constexpr std::size_t most_queued_bytes = 512U << 10U;
+/// About two thousand lines, ten seconds of a busy gateway's log.
+constexpr std::size_t max_queued_bytes = 512U << 10U;
 
 class queue_writer final : public log4cxx::helpers::Writer {
 public:
@@ -42,7 +42,7 @@
     void close(log4cxx::helpers::Pool& /*pool*/) override {}
 
 private:
-    internal::line_queue lines_{STDOUT_FILENO, most_queued_bytes};
+    internal::line_queue lines_{STDOUT_FILENO, max_queued_bytes};
 };
 
 class queue_appender final : public log4cxx::WriterAppender {
@@ -94,7 +94,7 @@
 
 } // namespace
 
-void start_log(std::string_view program, std::string_view vm, log_level least, log_target target)
+void start_log(std::string_view program, std::string_view vm, log_level min_level, log_sink sink)
 {
     auto& fields = fixed_fields();
     fields = ",\"program\":";
@@ -102,20 +102,20 @@
     fields += ",\"vm\":";
     fields += json_text(vm);
     auto layout = std::make_shared<log4cxx::PatternLayout>("%m%n");
-    if (target == log_target::standard_output) {
+    if (sink == log_sink::standard_output) {
         logger()->addAppender(std::make_shared<queue_appender>(layout));
     }
     else {
         logger()->addAppender(std::make_shared<log4cxx::ConsoleAppender>(layout, "System.err"));
     }
     logger()->setAdditivity(false);
-    logger()->setLevel(to_level(least));
+    logger()->setLevel(to_level(min_level));
 }
 
 void log(log_level level, std::string_view event, std::initializer_list<log_field> fields)
 {
     const auto log4cxx_level = to_level(level);
-    // A program without a log would have log4cxx complain of it on standard error, in a form of its own.
+    // Without an appender, log4cxx prints a warning on standard error that is not a JSON line.
     if (fixed_fields().empty() || !logger()->isEnabledFor(log4cxx_level)) {
         return;
     }
@@ -132,8 +132,8 @@
         if (const auto* text = std::get_if<std::string>(&field.value)) {
             line += json_text(*text);
         }
-        else if (const auto* whole = std::get_if<std::int64_t>(&field.value)) {
-            line += std::to_string(*whole);
+        else if (const auto* integer = std::get_if<std::int64_t>(&field.value)) {
+            line += std::to_string(*integer);
         }
         else {
             line += std::to_string(std::get<double>(field.value));
