--- a/standins/platform/object_store.cpp
+++ b/standins/platform/object_store.cpp
@@ -9,13 +9,13 @@
 pb::WriteReply object_store::write(const pb::WriteRequest& request)
 {
     const std::pair key{request.kind(), request.name()};
-    const auto held = objects_.find(key);
+    const auto found = objects_.find(key);
     const std::uint64_t current =
-        held == objects_.end() || held->second.deleted() ? 0 : held->second.version();
+        found == objects_.end() || found->second.deleted() ? 0 : found->second.version();
     pb::WriteReply reply;
     if (current != request.expected_version()) {
-        if (held != objects_.end()) {
-            *reply.mutable_object() = held->second;
+        if (found != objects_.end()) {
+            *reply.mutable_object() = found->second;
         }
         else {
             reply.mutable_object()->set_kind(request.kind());
@@ -38,10 +38,10 @@
 pb::ReadReply object_store::read(const std::string& kind, const std::string& name) const
 {
     pb::ReadReply reply;
-    const auto held = objects_.find({kind, name});
-    if (held != objects_.end()) {
+    const auto found = objects_.find({kind, name});
+    if (found != objects_.end()) {
         reply.set_found(true);
-        *reply.mutable_object() = held->second;
+        *reply.mutable_object() = found->second;
     }
     return reply;
 }
@@ -62,14 +62,14 @@
 {
     pb::WatchReply reply;
     reply.set_revision(revision_);
-    if (request.since_revision() < compacted_) {
+    if (request.since_revision() < compacted_revision_) {
         reply.set_compacted(true);
         return reply;
     }
     const auto& kinds = request.kinds();
     for (const auto& [key, item] : objects_) {
-        const bool asked = std::find(kinds.begin(), kinds.end(), key.first) != kinds.end();
-        if (asked && item.version() > request.since_revision()) {
+        const bool requested = std::find(kinds.begin(), kinds.end(), key.first) != kinds.end();
+        if (requested && item.version() > request.since_revision()) {
             *reply.add_objects() = item;
         }
     }
--- a/standins/platform/object_store.hpp
+++ b/standins/platform/object_store.hpp
@@ -19,12 +19,12 @@
     platform::v1::ListReply list(const std::string& kind) const;
     /// Everything of these kinds that changed after `revision`, deletions too.
     platform::v1::WatchReply changes(const platform::v1::WatchRequest& request) const;
-    void compact_below(std::uint64_t revision) { compacted_ = revision; }
+    void compact_below(std::uint64_t revision) { compacted_revision_ = revision; }
 
 private:
     std::map<std::pair<std::string, std::string>, platform::v1::Object> objects_;
     std::uint64_t revision_ = 0;
-    std::uint64_t compacted_ = 0;
+    std::uint64_t compacted_revision_ = 0;
 };
 
 } // namespace vanillagauge::standins
--- a/standins/platform/services.cpp
+++ b/standins/platform/services.cpp
@@ -141,8 +141,8 @@
     {
         const std::lock_guard lock(mutex_);
         const auto now = steady::now();
-        const std::chrono::duration<double> passed = now - refilled_;
-        refilled_ = now;
+        const std::chrono::duration<double> passed = now - refilled_at_;
+        refilled_at_ = now;
         tokens_ = std::min<double>(rate_, tokens_ + passed.count() * rate_);
         reply->set_granted(tokens_ >= 1);
         if (reply->granted()) {
--- a/standins/platform/services.hpp
+++ b/standins/platform/services.hpp
@@ -63,7 +63,7 @@
     int rate_;
     std::mutex mutex_;
     double tokens_ = 0;
-    time_point refilled_ = steady::now();
+    time_point refilled_at_ = steady::now();
 };
 
 class platform_control final : public platform::v1::Control {
--- a/standins/target/engine.cpp
+++ b/standins/target/engine.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t most_cache_events = 256;
+constexpr std::size_t max_cache_events = 256;
 constexpr std::size_t prefix_length = 64;
 /// Shape of the length distribution: most samples are short, a few take nearly all their tokens.
 constexpr double length_sigma = 0.8;
@@ -22,20 +22,21 @@
 {
 }
 
-int engine::draw_length(const std::string& request_id, int most) const
+int engine::draw_length(const std::string& request_id, int max_tokens) const
 {
     std::mt19937_64 drawn(hash64(std::string_view(request_id).substr(0, request_id.find('#'))));
-    std::lognormal_distribution<double> lengths(std::log(std::max(1.0, most * median_share)), length_sigma);
-    return std::clamp(static_cast<int>(lengths(drawn)), 1, std::max(1, most));
+    std::lognormal_distribution<double> lengths(std::log(std::max(1.0, max_tokens * median_share)),
+                                                length_sigma);
+    return std::clamp(static_cast<int>(lengths(drawn)), 1, std::max(1, max_tokens));
 }
 
 /// An engine that loads weights makes no tokens; its streams go on afterwards.
-milliseconds engine::loading_left() const
+milliseconds engine::remaining_load_time() const
 {
     return remaining(steady::now(), loading_until_);
 }
 
-void engine::note_load()
+void engine::record_load()
 {
     const auto now = steady::now();
     load_history_.emplace_back(now, static_cast<int>(streams_.size()));
@@ -44,13 +45,13 @@
     }
 }
 
-void engine::note_prefix(const std::string& prompt)
+void engine::record_prefix(const std::string& prompt)
 {
     pb::CacheEvent event;
     event.set_sequence(next_cache_event_++);
     event.set_prefix_hash(digest(std::string_view(prompt).substr(0, prefix_length)));
     cache_events_.push_back(std::move(event));
-    if (cache_events_.size() > most_cache_events) {
+    if (cache_events_.size() > max_cache_events) {
         cache_events_.pop_front();
     }
 }
@@ -58,19 +59,20 @@
 milliseconds engine::chunk_delay()
 {
     const auto streams = static_cast<std::int64_t>(streams_.size());
-    const auto crowding = std::max<std::int64_t>(options_.capacity, streams);
-    return loading_left() + milliseconds{options_.chunk_time.count() * crowding / options_.capacity};
+    const auto effective_streams = std::max<std::int64_t>(options_.capacity, streams);
+    return remaining_load_time() +
+           milliseconds{options_.chunk_time.count() * effective_streams / options_.capacity};
 }
 
 void engine::Generate(google::protobuf::RpcController* control, const pb::GenerateRequest* request,
                       pb::GenerateChunk* /*unused*/, google::protobuf::Closure* done)
 {
-    faults_.crash_if_asked(request->prompt());
-    const auto played = faults_.current();
-    if (played.silent()) {
+    faults_.crash_if_requested(request->prompt());
+    const auto fault = faults_.current();
+    if (fault.silent()) {
         return;
     }
-    if (played.refuse()) {
+    if (fault.refuse()) {
         wire::controller_of(control).fail(
             {error_code::unavailable, run_state::not_run, "the engine takes nothing"});
         done->Run();
@@ -80,46 +82,46 @@
     running->control = &wire::controller_of(control);
     running->done = done;
     running->request_id = request->request_id();
-    milliseconds delay{played.delay_ms()};
+    milliseconds delay{fault.delay_ms()};
     {
         const std::lock_guard lock(mutex_);
-        running->wanted =
+        running->total_tokens =
             std::max(1, draw_length(request->request_id(), request->max_tokens()) - request->resume_tokens());
         streams_[request->request_id()] = running;
-        note_load();
-        note_prefix(request->prompt());
+        record_load();
+        record_prefix(request->prompt());
         delay += chunk_delay();
     }
-    loop_.after(delay, [this, running] { step(running); });
+    loop_.after(delay, [this, running] { send_chunk(running); });
 }
 
-void engine::step(const stream_ptr& running)
+void engine::send_chunk(const stream_ptr& running)
 {
-    const auto played = faults_.current();
+    const auto fault = faults_.current();
     pb::GenerateChunk chunk;
-    milliseconds delay{played.delay_ms()};
+    milliseconds delay{fault.delay_ms()};
     bool last = false;
     {
         const std::lock_guard lock(mutex_);
-        const int count = std::min(options_.chunk_tokens, running->wanted - running->tokens);
+        const int count = std::min(options_.chunk_tokens, running->total_tokens - running->tokens);
         running->tokens += count;
-        last = running->tokens >= running->wanted || running->cancelled;
+        last = running->tokens >= running->total_tokens || running->cancelled;
         chunk.set_request_id(running->request_id);
         chunk.set_sequence(running->sequence++);
         chunk.set_tokens(count);
-        for (int place = 0; place < count; ++place) {
+        for (int index = 0; index < count; ++index) {
             chunk.set_text(chunk.text() + "t" + std::to_string(random_() % 1000) + " ");
         }
-        chunk.set_version(played.omit_labels() ? 0 : version_);
+        chunk.set_version(fault.omit_labels() ? 0 : version_);
         chunk.set_done(last);
         chunk.set_total_tokens(last ? running->tokens : 0);
         if (last) {
             streams_.erase(running->request_id);
         }
-        note_load();
+        record_load();
         delay += chunk_delay();
     }
-    if (played.silent()) {
+    if (fault.silent()) {
         return;
     }
     {
@@ -128,8 +130,8 @@
     }
     {
         const std::lock_guard lock(faults_.mutex);
-        if (const int left = faults_.played.cross_next_chunks(); left > 0) {
-            faults_.played.set_cross_next_chunks(left - 1);
+        if (const int left = faults_.active.cross_next_chunks(); left > 0) {
+            faults_.active.set_cross_next_chunks(left - 1);
             chunk.set_request_id("late-" + chunk.request_id());
         }
     }
@@ -139,7 +141,7 @@
         running->done->Run();
         return;
     }
-    loop_.after(delay, [this, running] { step(running); });
+    loop_.after(delay, [this, running] { send_chunk(running); });
 }
 
 void engine::Cancel(google::protobuf::RpcController* /*control*/, const pb::CancelRequest* request,
@@ -164,9 +166,9 @@
     bool refused = false;
     {
         const std::lock_guard lock(faults_.mutex);
-        const int left = faults_.played.fail_next_orders();
+        const int left = faults_.active.fail_next_orders();
         refused = left > 0;
-        faults_.played.set_fail_next_orders(std::max(0, left - 1));
+        faults_.active.set_fail_next_orders(std::max(0, left - 1));
     }
     {
         const std::lock_guard lock(mutex_);
@@ -175,8 +177,8 @@
     loop_.after(options_.load_time, [this, request = *request, reply, done, refused] {
         {
             const std::lock_guard lock(mutex_);
-            const bool stale = options_.enforce_fencing && request.fencing() < fencing_;
-            fencing_ = std::max(fencing_, request.fencing());
+            const bool stale = options_.enforce_fencing && request.fencing() < fencing_token_;
+            fencing_token_ = std::max(fencing_token_, request.fencing());
             reply->set_accepted(!refused && !stale);
             reply->set_detail(refused ? "the load failed" : stale ? "the fencing number is old" : "");
             if (reply->accepted() && request.operation() == "load_version") {
@@ -186,7 +188,7 @@
                 role_ = request.role();
             }
             reply->set_version(version_);
-            reply->set_fencing(fencing_);
+            reply->set_fencing(fencing_token_);
         }
         done->Run();
     });
@@ -195,12 +197,12 @@
 void engine::Load(google::protobuf::RpcController* /*control*/, const pb::LoadRequest* /*request*/,
                   pb::LoadReply* reply, google::protobuf::Closure* done)
 {
-    const auto played = faults_.current();
+    const auto fault = faults_.current();
     {
         const std::lock_guard lock(mutex_);
         const auto now = steady::now();
         const int running = load_history_.empty() ? 0 : load_history_.front().second;
-        const double scale = played.load_scale() == 0 ? 1 : played.load_scale();
+        const double scale = fault.load_scale() == 0 ? 1 : fault.load_scale();
         reply->set_running(static_cast<int>(running * scale));
         reply->set_capacity(options_.capacity);
         reply->set_version(version_);
--- a/standins/target/engine.hpp
+++ b/standins/target/engine.hpp
@@ -53,7 +53,7 @@
         std::string request_id;
         int sequence = 0;
         int tokens = 0;
-        int wanted = 0;
+        int total_tokens = 0;
         bool cancelled = false;
     };
     using stream_ptr = std::shared_ptr<stream>;
@@ -63,7 +63,7 @@
     std::mutex mutex_;
     std::mt19937_64 random_;
     std::uint64_t version_;
-    std::uint64_t fencing_ = 0;
+    std::uint64_t fencing_token_ = 0;
     std::string role_ = "serve";
     time_point loading_until_{};
     std::map<std::string, stream_ptr> streams_;
@@ -72,12 +72,12 @@
     std::uint64_t next_cache_event_ = 1;
 
     /// The same for the same sample on any engine: what follows a '#' in its id names only the stream.
-    int draw_length(const std::string& request_id, int most) const;
-    milliseconds loading_left() const;
-    void step(const stream_ptr& running);
+    int draw_length(const std::string& request_id, int max_tokens) const;
+    milliseconds remaining_load_time() const;
+    void send_chunk(const stream_ptr& running);
     milliseconds chunk_delay();
-    void note_load();
-    void note_prefix(const std::string& prompt);
+    void record_load();
+    void record_prefix(const std::string& prompt);
 };
 
 } // namespace vanillagauge::standins
--- a/standins/target/faults.cpp
+++ b/standins/target/faults.cpp
@@ -9,7 +9,7 @@
 pb::FaultRequest fault_state::current()
 {
     const std::lock_guard lock(mutex);
-    return played;
+    return active;
 }
 
 void fault_state::count_run(const std::string& request_id)
@@ -21,10 +21,10 @@
     }
 }
 
-void fault_state::crash_if_asked(const std::string& text)
+void fault_state::crash_if_requested(const std::string& text)
 {
-    const auto played_now = current();
-    if (!played_now.crash_on().empty() && text.find(played_now.crash_on()) != std::string::npos) {
+    const auto fault = current();
+    if (!fault.crash_on().empty() && text.find(fault.crash_on()) != std::string::npos) {
         std::_Exit(EXIT_FAILURE);
     }
 }
@@ -34,7 +34,7 @@
 {
     {
         const std::lock_guard lock(faults_.mutex);
-        faults_.played = *request;
+        faults_.active = *request;
     }
     done->Run();
 }
--- a/standins/target/faults.hpp
+++ b/standins/target/faults.hpp
@@ -13,7 +13,7 @@
 
 struct fault_state {
     std::mutex mutex;
-    target::v1::FaultRequest played;
+    target::v1::FaultRequest active;
     target::v1::CountsReply counts;
     std::map<std::string, int> runs; ///< by request id
 
@@ -21,7 +21,7 @@
     /// Counts a run; a request id that ran before counts as doubled.
     void count_run(const std::string& request_id);
     /// Ends the process where the text holds what the played fault crashes on.
-    void crash_if_asked(const std::string& text);
+    void crash_if_requested(const std::string& text);
 };
 
 class target_control final : public target::v1::Control {
--- a/standins/target/plain_service.hpp
+++ b/standins/target/plain_service.hpp
@@ -32,7 +32,7 @@
     fault_state& faults_;
     wire::event_loop& loop_;
     std::mutex mutex_;
-    std::vector<time_point> worker_free_;
+    std::vector<time_point> worker_free_at_;
 
     /// When a worker will have served one more call.
     milliseconds reserve_worker(milliseconds extra);
--- a/standins/trainer/main.cpp
+++ b/standins/trainer/main.cpp
@@ -20,7 +20,7 @@
 using namespace vanillagauge;
 
 constexpr milliseconds pull_wait{1000};
-constexpr milliseconds retry_pause{100};
+constexpr milliseconds retry_delay{100};
 constexpr milliseconds pull_timeout{5000};
 
 struct trainer_options {
@@ -31,7 +31,7 @@
     int pull_size = 32;
     milliseconds train_time{200};
     std::uint64_t version = 1;
-    milliseconds give_up{120000};
+    milliseconds run_timeout{120000};
     int lose_cursor_at = -1; ///< forget the cursor once, in the middle of this step; -1: never
     int lose_reply_at = -1;  ///< once drop a reply of this step as if it had not come; -1: never
 };
@@ -41,10 +41,10 @@
 
 struct trainer_report {
     std::int64_t samples = 0;
-    std::int64_t doubled = 0;
-    std::int64_t mixed = 0; ///< samples with spans of several versions
+    std::int64_t duplicates = 0;
+    std::int64_t mixed_versions = 0; ///< samples with spans of several versions
     std::int64_t staleness_sum = 0;
-    std::int64_t staleness_most = 0;
+    std::int64_t max_staleness = 0;
     std::int64_t failed_pulls = 0;
     std::int64_t unscored = 0;
     std::int64_t tokens = 0;
@@ -70,7 +70,7 @@
 
     bool run()
     {
-        const auto deadline = steady::now() + options_.give_up;
+        const auto deadline = steady::now() + options_.run_timeout;
         while (report_.steps_done < options_.steps) {
             if (!run_step(deadline)) {
                 return false;
@@ -139,7 +139,7 @@
             drop_step(reply.step());
         }
         for (const auto& sample : reply.samples()) {
-            take(sample);
+            record_sample(sample);
         }
         cursor_ = reply.cursor();
         const bool lose = !lost_cursor_ && reply.step() == options_.lose_cursor_at;
@@ -170,22 +170,22 @@
         ++report_.failed_pulls;
         next_address_ = (next_address_ + 1) % options_.addresses.size();
         address_ = options_.addresses[next_address_];
-        std::this_thread::sleep_for(retry_pause);
+        std::this_thread::sleep_for(retry_delay);
     }
 
-    void take(const v1::Sample& sample)
+    void record_sample(const v1::Sample& sample)
     {
         ++report_.samples;
-        report_.doubled += seen_.insert({sample.step(), sample.group(), sample.index()}).second ? 0 : 1;
+        report_.duplicates += seen_.insert({sample.step(), sample.group(), sample.index()}).second ? 0 : 1;
         report_.unscored += sample.unscored().empty() ? 0 : 1;
         for (const auto& span : sample.spans()) {
             report_.tokens += span.tokens();
         }
-        report_.mixed += sample.spans_size() > 1 ? 1 : 0;
+        report_.mixed_versions += sample.spans_size() > 1 ? 1 : 0;
         const auto staleness =
             static_cast<std::int64_t>(version_) - static_cast<std::int64_t>(sample.oldest_version());
         report_.staleness_sum += staleness;
-        report_.staleness_most = std::max(report_.staleness_most, staleness);
+        report_.max_staleness = std::max(report_.max_staleness, staleness);
     }
 };
 
@@ -197,8 +197,8 @@
     summary["finished"] = finished;
     summary["steps"] = report.steps_done;
     summary["samples"] = report.samples;
-    summary["doubled"] = report.doubled;
-    summary["mixed_version_samples"] = report.mixed;
+    summary["doubled"] = report.duplicates;
+    summary["mixed_version_samples"] = report.mixed_versions;
     summary["final_version"] = run.version();
     summary["unscored"] = report.unscored;
     summary["tokens"] = report.tokens;
@@ -207,7 +207,7 @@
     summary["idle_share"] = total > 0 ? in_seconds(report.waited) / total : 0;
     summary["staleness_mean"] =
         report.samples > 0 ? double(report.staleness_sum) / double(report.samples) : 0;
-    summary["staleness_max"] = report.staleness_most;
+    summary["staleness_max"] = report.max_staleness;
     summary["step_seconds"] = report.step_seconds;
     return summary;
 }
@@ -245,7 +245,7 @@
     options.version = static_cast<std::uint64_t>(version.getValue());
     options.lose_cursor_at = lose.getValue();
     options.lose_reply_at = lose_reply.getValue();
-    options.give_up = seconds{give_up.getValue()};
+    options.run_timeout = seconds{give_up.getValue()};
     wire::set_http_threads(4);
     wire::event_loop loop;
     trainer run(options, loop);
@@ -255,5 +255,5 @@
         std::ofstream(out.getValue()) << summary.dump(2) << "\n";
     }
     std::cout << summary.dump() << std::endl;
-    return finished && run.report().doubled == 0 ? node::exit_success : node::exit_failure;
+    return finished && run.report().duplicates == 0 ? node::exit_success : node::exit_failure;
 }
