--- a/fuzzing/input_tests.cpp
+++ b/fuzzing/input_tests.cpp
@@ -22,7 +22,7 @@
 
 RC_GTEST_PROP(settings_text, that_is_damaged_is_read_or_refused_by_name, ())
 {
-    const auto parsed = config::parse_settings(fuzzing::damaged(valid_settings), "vm.json");
+    const auto parsed = config::parse_settings(fuzzing::mutated(valid_settings), "vm.json");
     if (ok(parsed)) {
         RC_ASSERT(!value(parsed).vm.empty());
         RC_ASSERT(value(parsed).http_threads >= 2 && value(parsed).http_threads <= 64);
@@ -49,7 +49,7 @@
 RC_GTEST_PROP(call_key_text, that_is_damaged_is_a_key_or_refused_as_not_run, ())
 {
     const auto prefix = claims::format_prefix({{"aph-1", 17}, {"aph-2", 18}}, 1700000000000, 99);
-    const auto parsed = claims::parse_key(fuzzing::damaged(prefix + "s1"));
+    const auto parsed = claims::parse_key(fuzzing::mutated(prefix + "s1"));
     if (!ok(parsed)) {
         RC_ASSERT(failure(parsed).code == error_code::invalid_argument);
         RC_ASSERT(failure(parsed).ran == run_state::not_run);
@@ -64,7 +64,7 @@
         position.taken[slot] = *rc::gen::arbitrary<bool>();
     }
     const auto opened =
-        samples::decode_cursor(fuzzing::damaged(samples::encode_cursor(position, "secret")), "secret");
+        samples::decode_cursor(fuzzing::mutated(samples::encode_cursor(position, "secret")), "secret");
     if (ok(opened)) {
         RC_ASSERT(value(opened) == position);
     }
@@ -91,13 +91,14 @@
     const auto bytes = stream_of(encoding, payloads);
     wire::frame_reader reader(encoding);
     std::vector<std::string> received;
-    std::size_t place = 0;
-    while (place < bytes.size()) {
+    std::size_t offset = 0;
+    while (offset < bytes.size()) {
         const auto size = *rc::gen::inRange<std::size_t>(1, 8);
-        const auto fed = reader.feed(std::string_view(bytes).substr(place, size),
-                                     [&received](std::string_view whole) { received.emplace_back(whole); });
+        const auto fed =
+            reader.feed(std::string_view(bytes).substr(offset, size),
+                        [&received](std::string_view payload) { received.emplace_back(payload); });
         RC_ASSERT(ok(fed));
-        place += size;
+        offset += size;
     }
     RC_ASSERT(reader.at_boundary());
     RC_ASSERT(received == payloads);
@@ -106,14 +107,14 @@
 RC_GTEST_PROP(frames, of_a_damaged_stream_stay_within_its_bytes, ())
 {
     const auto encoding = *rc::gen::element(wire::codec::json, wire::codec::protobuf);
-    const auto bytes = fuzzing::damaged(stream_of(encoding, {"one", R"({"a": 1})", "three"}) +
+    const auto bytes = fuzzing::mutated(stream_of(encoding, {"one", R"({"a": 1})", "three"}) +
                                         wire::error_frame(encoding, {error_code::unavailable}));
     wire::frame_reader reader(encoding);
     std::vector<std::string> received;
     const auto fed =
-        reader.feed(bytes, [&received](std::string_view whole) { received.emplace_back(whole); });
-    for (const auto& whole : received) {
-        RC_ASSERT(bytes.find(whole) != std::string::npos);
+        reader.feed(bytes, [&received](std::string_view payload) { received.emplace_back(payload); });
+    for (const auto& payload : received) {
+        RC_ASSERT(bytes.find(payload) != std::string::npos);
     }
     RC_CLASSIFY(!ok(fed));
 }
--- a/fuzzing/mutation.hpp
+++ b/fuzzing/mutation.hpp
@@ -8,37 +8,37 @@
 
 namespace vanillagauge::fuzzing {
 
-inline void damage_once(std::string& text)
+inline void mutate_once(std::string& text)
 {
     if (text.empty()) {
         return;
     }
-    const auto place = *rc::gen::inRange<std::size_t>(0, text.size());
+    const auto offset = *rc::gen::inRange<std::size_t>(0, text.size());
     const auto byte = static_cast<char>(*rc::gen::inRange(0, 256));
     switch (*rc::gen::inRange(0, 5)) {
     case 0:
-        text[place] = byte;
+        text[offset] = byte;
         break;
     case 1:
-        text.erase(place, 1);
+        text.erase(offset, 1);
         break;
     case 2:
-        text.insert(place, 1, byte);
+        text.insert(offset, 1, byte);
         break;
     case 3:
-        text.insert(place, text.substr(place, 16));
+        text.insert(offset, text.substr(offset, 16));
         break;
     default:
-        text.resize(place);
+        text.resize(offset);
     }
 }
 
 /// `valid` with one to eight damages.
-inline std::string damaged(std::string valid)
+inline std::string mutated(std::string valid)
 {
     const auto times = *rc::gen::inRange(1, 9);
     for (int turn = 0; turn < times; ++turn) {
-        damage_once(valid);
+        mutate_once(valid);
     }
     return valid;
 }
