--- a/standins/users/fake_replica.cpp
+++ b/standins/users/fake_replica.cpp
@@ -36,7 +36,7 @@
             {"Slots", 4},         {"State", state},      {"Models", models}, {"Sequence", 1}};
 }
 
-net::http_fields fake_replica::marks(const net::http_request& request, replica_fault fault) const
+net::http_fields fake_replica::response_fields(const net::http_request& request, replica_fault fault) const
 {
     net::http_fields fields;
     const auto attempt = fault == replica_fault::other_attempt ? std::string_view("another")
@@ -64,13 +64,13 @@
         json report;
         report["Models"] = json::array({{{"Name", "m"}, {"Version", version}}});
         report["Busy"] = false;
-        report["Sequence"] = orders_taken_;
+        report["Sequence"] = accepted_orders_;
         response.body = report.dump();
         co_await answer.send(std::move(response));
         co_return;
     }
     if (request.target == "/api/order") {
-        co_await take_order(request, answer);
+        co_await handle_order(request, answer);
         co_return;
     }
     auto fault = replica_fault::none;
@@ -84,25 +84,25 @@
     co_await run(request, answer, fault);
 }
 
-int fake_replica::note_order(const json& order)
+int fake_replica::apply_order(const json& order)
 {
     const auto expected = order.at("Expected").get<std::uint64_t>();
     const auto wanted = order.at("Version").get<std::uint64_t>();
     orders.push_back(order);
     order_times.push_back(steady::now());
-    if (expected != orders_taken_) {
+    if (expected != accepted_orders_) {
         return 409;
     }
-    ++orders_taken_;
+    ++accepted_orders_;
     version = wanted;
     return 202;
 }
 
-net::task<void> fake_replica::take_order(const net::http_request& request, net::responder& answer)
+net::task<void> fake_replica::handle_order(const net::http_request& request, net::responder& answer)
 {
     net::http_response response;
     try {
-        response.status = note_order(json::parse(request.body));
+        response.status = apply_order(json::parse(request.body));
     }
     catch (const json::exception& why) {
         response.status = 400;
@@ -121,10 +121,10 @@
         co_await answer.send(std::move(response));
         co_return;
     }
-    ran.push_back({std::string(request.fields.find("Attempt-Id")), request.method, request.target,
-                   request.body, std::string(request.fields.find("Last-Event-Id")),
-                   std::string(request.fields.find("Deadline-Ms")),
-                   std::string(request.fields.find("traceparent")), steady::now(), fault});
+    started_requests.push_back(
+        {std::string(request.fields.find("Attempt-Id")), request.method, request.target, request.body,
+         std::string(request.fields.find("Last-Event-Id")), std::string(request.fields.find("Deadline-Ms")),
+         std::string(request.fields.find("traceparent")), steady::now(), fault});
     if (fault == replica_fault::reset) {
         answer.abort();
         co_return;
@@ -134,7 +134,7 @@
         co_return;
     }
     if (request.fields.contains("Token-Counts") && fault != replica_fault::fail &&
-        fault != replica_fault::never) {
+        fault != replica_fault::unprocessable) {
         co_await stream(request, answer, fault);
         co_return;
     }
@@ -145,11 +145,11 @@
         ++cancelled;
         co_return;
     }
-    response.fields = marks(request, fault);
+    response.fields = response_fields(request, fault);
     if (fault == replica_fault::fail) {
         response.status = 500;
     }
-    else if (fault == replica_fault::never) {
+    else if (fault == replica_fault::unprocessable) {
         response.status = 422;
     }
     response.body = "answer of " + id_ + " to " + request.body;
@@ -161,15 +161,15 @@
 {
     const auto item = std::string(request.fields.find("Attempt-Id"));
     const auto after = std::string(request.fields.find("Last-Event-Id"));
-    auto fields = marks(request, fault);
+    auto fields = response_fields(request, fault);
     fields.add("Content-Type", "text/event-stream");
     bool open = co_await answer.begin(200, std::move(fields));
-    auto told = version;
+    auto sent_version = version;
     for (auto number = after.empty() ? 1 : std::stoi(after) + 1; open && number <= events; ++number) {
-        co_await net::sleep_for(loop_, event_time);
+        co_await net::sleep_for(loop_, event_interval);
         std::string text;
-        if (version != told) {
-            told = version;
+        if (version != sent_version) {
+            sent_version = version;
             text = "weight-versions: " + std::to_string(version) + "\n";
         }
         text += "id: " + std::to_string(number) +
--- a/standins/users/fake_replica.hpp
+++ b/standins/users/fake_replica.hpp
@@ -22,13 +22,13 @@
     reset,         ///< runs it and resets the connection without an answer
     silent,        ///< runs it and never answers
     fail,          ///< answers 500
-    never,         ///< answers 422
+    unprocessable, ///< answers 422
     other_attempt, ///< answers with another attempt's id
     no_stamp,      ///< answers without its authentication code
     cut_stream,    ///< breaks off in the middle of an event
 };
 
-struct seen_request {
+struct received_request {
     std::string attempt_id;
     std::string method;
     std::string target;
@@ -36,7 +36,7 @@
     std::string last_event_id;
     std::string deadline_ms;
     std::string traceparent;
-    time_point at{};
+    time_point received_at{};
     replica_fault fault = replica_fault::none;
 };
 
@@ -51,31 +51,31 @@
     nlohmann::json entry(const std::string& service, const std::string& model,
                          const std::string& state) const;
 
-    int events = 4;                      ///< of each stream
-    milliseconds event_time{5};          ///< between two of them
-    milliseconds work_time{0};           ///< before an answer
-    std::uint64_t version = 1;           ///< of its weights
-    std::vector<replica_fault> script;   ///< for the next requests, in order
-    std::set<std::string> always_fail;   ///< attempts that are answered 500 each time
-    std::vector<seen_request> ran;       ///< requests that began to run
-    std::vector<nlohmann::json> orders;  ///< in the order of their arrival
-    std::vector<time_point> order_times; ///< of each of them
-    int cancelled = 0;                   ///< runs whose client left before the end
+    int events = 4;                                 ///< of each stream
+    milliseconds event_interval{5};                 ///< between two of them
+    milliseconds work_time{0};                      ///< before an answer
+    std::uint64_t version = 1;                      ///< of its weights
+    std::vector<replica_fault> script;              ///< for the next requests, in order
+    std::set<std::string> always_fail;              ///< attempts that are answered 500 each time
+    std::vector<received_request> started_requests; ///< requests that began to run
+    std::vector<nlohmann::json> orders;             ///< in the order of their arrival
+    std::vector<time_point> order_times;            ///< of each of them
+    int cancelled = 0;                              ///< runs whose client left before the end
 
 private:
     net::loop& loop_;
     std::string id_;
     std::string address_;
-    std::uint64_t orders_taken_ = 0;
+    std::uint64_t accepted_orders_ = 0;
     net::http_service service_;
 
     net::task<void> serve(const net::http_request& request, net::responder& answer);
     net::task<void> run(const net::http_request& request, net::responder& answer, replica_fault fault);
     net::task<void> stream(const net::http_request& request, net::responder& answer, replica_fault fault);
     /// The status to answer with; throws json::exception where the order lacks something.
-    int note_order(const nlohmann::json& order);
-    net::task<void> take_order(const net::http_request& request, net::responder& answer);
-    net::http_fields marks(const net::http_request& request, replica_fault fault) const;
+    int apply_order(const nlohmann::json& order);
+    net::task<void> handle_order(const net::http_request& request, net::responder& answer);
+    net::http_fields response_fields(const net::http_request& request, replica_fault fault) const;
 };
 
 /// The text of the event with this number, as an item's result holds it.
--- a/standins/users/fake_store.cpp
+++ b/standins/users/fake_store.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::string_view objects_path = "/api/objects/";
 
-constexpr milliseconds silence_step{20};
+constexpr milliseconds silence_poll_interval{20};
 
 net::http_response respond(int status, const json& body)
 {
@@ -57,12 +57,12 @@
     : loop_(loop), changed_(loop), service_(
                                        loop, [] { return net::service_limits{}; },
                                        [this](const net::http_request& request, net::responder& answer) {
-                                           return serve(door::first, request, answer);
+                                           return serve(endpoint::first, request, answer);
                                        }),
       second_service_(
           loop, [] { return net::service_limits{}; },
           [this](const net::http_request& request, net::responder& answer) {
-              return serve(door::second, request, answer);
+              return serve(endpoint::second, request, answer);
           })
 {
 }
@@ -95,9 +95,9 @@
     changed_.notify();
 }
 
-void fake_store::forget_history()
+void fake_store::compact_history()
 {
-    oldest_known_ = ++revision_;
+    compacted_revision_ = ++revision_;
     history_.clear();
     changed_.notify();
 }
@@ -116,8 +116,8 @@
 
 std::uint64_t fake_store::list_calls(const std::string& kind) const
 {
-    const auto known = list_calls_.find(kind);
-    return known == list_calls_.end() ? 0 : known->second;
+    const auto found = list_calls_.find(kind);
+    return found == list_calls_.end() ? 0 : found->second;
 }
 
 net::http_response fake_store::list(const std::string& kind, const std::string& after) const
@@ -147,23 +147,23 @@
     auto body = json::parse(request.body);
     const auto name = request.method == "POST" ? body.at("Metadata").at("Name").get<std::string>() : parts[1];
     const key at{parts[0], name};
-    const auto standing = objects_.find(at);
+    const auto existing = objects_.find(at);
     if (request.method == "POST") {
-        if (standing != objects_.end()) {
-            return respond(409, standing->second);
+        if (existing != objects_.end()) {
+            return respond(409, existing->second);
         }
         json object;
         object["Specification"] = body.at("Specification");
         return respond(201, store(at, std::move(object)));
     }
-    if (standing == objects_.end()) {
+    if (existing == objects_.end()) {
         return respond(404, json::object());
     }
     const auto expected = body.at("Metadata").value("Revision", std::uint64_t{0});
-    if (expected != 0 && expected != standing->second["Metadata"]["Revision"].get<std::uint64_t>()) {
-        return respond(409, standing->second);
+    if (expected != 0 && expected != existing->second["Metadata"]["Revision"].get<std::uint64_t>()) {
+        return respond(409, existing->second);
     }
-    auto object = standing->second;
+    auto object = existing->second;
     const auto* field = parts[2] == "status" ? "Status" : "Specification";
     if (object.value(field, json()) == body.at(field)) {
         return respond(200, object);
@@ -178,31 +178,31 @@
     write(request);
 }
 
-net::task<void> fake_store::outlast_silence(door used, net::responder& answer)
+net::task<void> fake_store::wait_while_silent(endpoint used, net::responder& answer)
 {
-    while (used == door::second && faults.second_silent && !answer.client_disconnected()) {
-        co_await net::sleep_for(loop_, silence_step);
+    while (used == endpoint::second && faults.second_silent && !answer.client_disconnected()) {
+        co_await net::sleep_for(loop_, silence_poll_interval);
     }
 }
 
-net::task<void> fake_store::watch(door used, std::string kind, std::uint64_t since, milliseconds wait,
+net::task<void> fake_store::watch(endpoint used, std::string kind, std::uint64_t since, milliseconds wait,
                                   net::responder& answer)
 {
     const auto until = steady::now() + wait;
     while (true) {
-        co_await outlast_silence(used, answer);
-        if (since < oldest_known_) {
-            auto gone = respond(410, json::object());
-            co_await answer.send(std::move(gone));
+        co_await wait_while_silent(used, answer);
+        if (since < compacted_revision_) {
+            auto expired = respond(410, json::object());
+            co_await answer.send(std::move(expired));
             co_return;
         }
         json events = json::array();
-        for (const auto& known : history_) {
-            if (known.kind == kind && known.revision > since) {
-                json told;
-                told["Object"] = known.object;
-                told["Removed"] = known.removed;
-                events.push_back(std::move(told));
+        for (const auto& change : history_) {
+            if (change.kind == kind && change.revision > since) {
+                json entry;
+                entry["Object"] = change.object;
+                entry["Removed"] = change.removed;
+                events.push_back(std::move(entry));
             }
         }
         if (!events.empty() || steady::now() >= until || answer.client_disconnected()) {
@@ -217,12 +217,12 @@
     }
 }
 
-net::task<void> fake_store::serve(door used, const net::http_request& request, net::responder& answer)
+net::task<void> fake_store::serve(endpoint used, const net::http_request& request, net::responder& answer)
 {
-    co_await outlast_silence(used, answer);
+    co_await wait_while_silent(used, answer);
     if (!request.target.starts_with(objects_path)) {
-        auto foreign = refuse(404, request, "no object's path");
-        co_await answer.send(std::move(foreign));
+        auto unknown_path = refuse(404, request, "no object's path");
+        co_await answer.send(std::move(unknown_path));
         co_return;
     }
     if (faults.refuse) {
--- a/standins/users/fake_store.hpp
+++ b/standins/users/fake_store.hpp
@@ -36,7 +36,7 @@
     void put(const std::string& kind, const std::string& name, nlohmann::json specification);
     void remove(const std::string& kind, const std::string& name);
     /// Watches from before now are told that their history is gone.
-    void forget_history();
+    void compact_history();
 
     store_faults faults;
 
@@ -60,17 +60,17 @@
     std::map<key, nlohmann::json> objects_;
     std::vector<event> history_;
     std::uint64_t revision_ = 100;
-    std::uint64_t oldest_known_ = 0;
+    std::uint64_t compacted_revision_ = 0;
     std::uint64_t write_calls_ = 0;
     std::map<std::string, std::uint64_t> list_calls_; ///< by kind
     net::http_service service_;
     net::http_service second_service_;
 
-    enum class door { first, second };
-    net::task<void> serve(door used, const net::http_request& request, net::responder& answer);
-    net::task<void> watch(door used, std::string kind, std::uint64_t since, milliseconds wait,
+    enum class endpoint { first, second };
+    net::task<void> serve(endpoint used, const net::http_request& request, net::responder& answer);
+    net::task<void> watch(endpoint used, std::string kind, std::uint64_t since, milliseconds wait,
                           net::responder& answer);
-    net::task<void> outlast_silence(door used, net::responder& answer);
+    net::task<void> wait_while_silent(endpoint used, net::responder& answer);
     net::task<void> write_later(net::http_request request);
     net::http_response list(const std::string& kind, const std::string& after) const;
     net::http_response write(const net::http_request& request);
--- a/tests/gateway/batch_tests.cpp
+++ b/tests/gateway/batch_tests.cpp
@@ -91,8 +91,8 @@
     batch_deployment cluster;
     auto& served = cluster.ready_gateway("a");
     cluster.modify_store([&](standins::fake_store&) {
-        cluster.one.script = {replica_fault::never};
-        cluster.two.script = {replica_fault::never};
+        cluster.one.script = {replica_fault::unprocessable};
+        cluster.two.script = {replica_fault::unprocessable};
     });
     EXPECT_EQ(cluster.status_of(served.address(), make_batch("b1")), 202);
     const auto results = cluster.read_all({served.address()}, "b1");
@@ -110,8 +110,8 @@
     auto& first = cluster.ready_gateway("a");
     auto& second = cluster.ready_gateway("b");
     cluster.modify_store([&](standins::fake_store&) {
-        cluster.one.event_time = milliseconds(150);
-        cluster.two.event_time = milliseconds(150);
+        cluster.one.event_interval = milliseconds(150);
+        cluster.two.event_interval = milliseconds(150);
     });
     EXPECT_EQ(cluster.status_of(first.address(), make_batch("b1")), 202);
     std::this_thread::sleep_for(milliseconds(200));
@@ -128,8 +128,9 @@
     auto& second = cluster.add_gateway_at_second("b");
     expect_discovered({&first, &second});
     const auto runs = [&] {
-        return cluster.inspect_store<std::size_t>(
-            [&](standins::fake_store&) { return cluster.one.ran.size() + cluster.two.ran.size(); });
+        return cluster.inspect_store<std::size_t>([&](standins::fake_store&) {
+            return cluster.one.started_requests.size() + cluster.two.started_requests.size();
+        });
     };
     cluster.modify_store([](standins::fake_store& store) { store.faults.second_silent = true; });
     constexpr milliseconds timeout{1300};
@@ -200,7 +201,7 @@
     cluster.modify_store([&](standins::fake_store&) {
         for (auto* engine : {&cluster.one, &cluster.two}) {
             engine->events = 40;
-            engine->event_time = milliseconds(60);
+            engine->event_interval = milliseconds(60);
         }
     });
     EXPECT_EQ(cluster.status_of(first.address(), make_batch("b1")), 202);
@@ -214,9 +215,9 @@
     const auto resumed = cluster.inspect_store<std::size_t>([&](standins::fake_store&) {
         std::size_t count = 0;
         for (const auto* engine : {&cluster.one, &cluster.two}) {
-            count += static_cast<std::size_t>(
-                std::count_if(engine->ran.begin(), engine->ran.end(),
-                              [](const standins::seen_request& run) { return !run.last_event_id.empty(); }));
+            count += static_cast<std::size_t>(std::count_if(
+                engine->started_requests.begin(), engine->started_requests.end(),
+                [](const standins::received_request& run) { return !run.last_event_id.empty(); }));
         }
         return count;
     });
@@ -234,8 +235,8 @@
     batch_deployment cluster;
     auto& first = cluster.ready_gateway("a");
     cluster.modify_store([&](standins::fake_store&) {
-        cluster.one.event_time = milliseconds(200);
-        cluster.two.event_time = milliseconds(200);
+        cluster.one.event_interval = milliseconds(200);
+        cluster.two.event_interval = milliseconds(200);
     });
     EXPECT_EQ(cluster.status_of(first.address(), make_batch("b1")), 202);
     first.kill();
@@ -252,8 +253,8 @@
     batch_deployment cluster;
     auto& before = cluster.ready_gateway("a");
     cluster.modify_store([&](standins::fake_store&) {
-        cluster.one.event_time = milliseconds(400);
-        cluster.two.event_time = milliseconds(400);
+        cluster.one.event_interval = milliseconds(400);
+        cluster.two.event_interval = milliseconds(400);
     });
     EXPECT_EQ(cluster.status_of(before.address(), make_batch("b1")), 202);
     before.kill();
@@ -286,8 +287,8 @@
     auto& first = cluster.ready_gateway("a");
     auto& second = cluster.ready_gateway("b");
     cluster.modify_store([&](standins::fake_store&) {
-        cluster.one.event_time = milliseconds(300);
-        cluster.two.event_time = milliseconds(300);
+        cluster.one.event_interval = milliseconds(300);
+        cluster.two.event_interval = milliseconds(300);
     });
     EXPECT_EQ(cluster.status_of(first.address(), make_batch("b1")), 202);
     EXPECT_EQ(cluster.status_of(second.address(), make_end("b1")), 200);
@@ -296,8 +297,9 @@
         return first.query<std::size_t>([](gateway& served) { return served.batches_running(); }) == 0;
     }));
     const auto runs = [&] {
-        return cluster.inspect_store<std::size_t>(
-            [&](standins::fake_store&) { return cluster.one.ran.size() + cluster.two.ran.size(); });
+        return cluster.inspect_store<std::size_t>([&](standins::fake_store&) {
+            return cluster.one.started_requests.size() + cluster.two.started_requests.size();
+        });
     };
     const auto before = runs();
     std::this_thread::sleep_for(milliseconds(300));
@@ -350,7 +352,7 @@
              {"results",
               json::array(
                   {{{"id", "b1-i0"}, {"completed", false}, {"text", ""}, {"versions", json::array()}}})}});
-        store.forget_history();
+        store.compact_history();
     });
     const auto page = cluster.body_of(served.address(), make_read("b1", 0));
     ASSERT_EQ(page["Results"].size(), 1U) << page;
--- a/tests/gateway/forwarding_tests.cpp
+++ b/tests/gateway/forwarding_tests.cpp
@@ -37,7 +37,7 @@
         return inspect_store<std::size_t>([&](standins::fake_store&) {
             std::size_t runs = 0;
             for (const auto* replica : {&first, &second}) {
-                for (const auto& seen : replica->ran) {
+                for (const auto& seen : replica->started_requests) {
                     runs += seen.attempt_id == id ? 1 : 0;
                 }
             }
@@ -49,7 +49,7 @@
     {
         return inspect_store<std::string>([&](standins::fake_store&) {
             for (const auto* replica : {&first, &second}) {
-                for (const auto& seen : replica->ran) {
+                for (const auto& seen : replica->started_requests) {
                     if (seen.attempt_id == id) {
                         return seen.traceparent;
                     }
@@ -180,7 +180,7 @@
     EXPECT_EQ(all.status_of(all.served.address(), make_request("/once/1", "a1")), 200);
     const auto left = all.inspect_store<std::string>([&](standins::fake_store&) {
         for (const auto* replica : {&all.first, &all.second}) {
-            for (const auto& seen : replica->ran) {
+            for (const auto& seen : replica->started_requests) {
                 if (seen.attempt_id == "a1") {
                     return seen.deadline_ms;
                 }
@@ -214,20 +214,21 @@
     all.put_replica(all.first, "plain", "draining");
     all.modify_store([](standins::fake_store& store) { store.put("servers", "odd", {{"Service", 7}}); });
     std::this_thread::sleep_for(milliseconds(300));
-    const auto before =
-        all.inspect_store<std::size_t>([&](standins::fake_store&) { return all.first.ran.size(); });
+    const auto before = all.inspect_store<std::size_t>(
+        [&](standins::fake_store&) { return all.first.started_requests.size(); });
     for (int turn = 0; turn < 6; ++turn) {
         EXPECT_EQ(all.status_of(all.served.address(), make_request("/safe/1", "a" + std::to_string(turn))),
                   200);
     }
-    EXPECT_EQ(all.inspect_store<std::size_t>([&](standins::fake_store&) { return all.first.ran.size(); }),
+    EXPECT_EQ(all.inspect_store<std::size_t>(
+                  [&](standins::fake_store&) { return all.first.started_requests.size(); }),
               before);
 }
 
 TEST(forwarding, applies_configuration_after_store_history_loss)
 {
     one_gateway all;
-    all.modify_store([](standins::fake_store& store) { store.forget_history(); });
+    all.modify_store([](standins::fake_store& store) { store.compact_history(); });
     auto next = all.inspect_store<nlohmann::json>(
         [](standins::fake_store& store) { return store.find("config", "main")["Specification"]; });
     next["Version"] = 5;
@@ -276,8 +277,8 @@
         return all.inspect_store<losses>([&](standins::fake_store&) {
             losses counted;
             for (const auto* replica : replicas) {
-                counted.runs += replica->ran.size();
-                counted.replicas += replica->ran.empty() ? 0 : 1;
+                counted.runs += replica->started_requests.size();
+                counted.replicas += replica->started_requests.empty() ? 0 : 1;
             }
             return counted;
         });
--- a/tests/gateway/scored_batch_tests.cpp
+++ b/tests/gateway/scored_batch_tests.cpp
@@ -14,10 +14,10 @@
 struct scored_deployment : batch_deployment {
     standins::fake_replica& scorer = add_replica("s1", "plain");
 
-    std::vector<standins::seen_request> scoring_runs()
+    std::vector<standins::received_request> scoring_runs()
     {
-        return inspect_store<std::vector<standins::seen_request>>(
-            [&](standins::fake_store&) { return scorer.ran; });
+        return inspect_store<std::vector<standins::received_request>>(
+            [&](standins::fake_store&) { return scorer.started_requests; });
     }
 };
 
@@ -74,7 +74,7 @@
     }
     const auto runs = cluster.scoring_runs();
     EXPECT_EQ(std::count_if(runs.begin(), runs.end(),
-                            [](const standins::seen_request& run) { return run.attempt_id == "b1-s2"; }),
+                            [](const standins::received_request& run) { return run.attempt_id == "b1-s2"; }),
               3);
 }
 
@@ -134,7 +134,7 @@
     const auto runs = cluster.scoring_runs();
     ASSERT_EQ(runs.size(), item_count);
     for (std::size_t index = 1; index < runs.size(); ++index) {
-        EXPECT_GE(runs[index].at - runs[index - 1].at, work);
+        EXPECT_GE(runs[index].received_at - runs[index - 1].received_at, work);
     }
 }
 
--- a/tests/soak/ledger.cpp
+++ b/tests/soak/ledger.cpp
@@ -68,7 +68,8 @@
     cut_.push_back(std::move(request));
 }
 
-void ledger::check_planned_stops(const signal_log& signals, const std::vector<standins::seen_request>& ran)
+void ledger::check_planned_stops(const signal_log& signals,
+                                 const std::vector<standins::received_request>& ran)
 {
     planned_stops_ = signals.planned_stops();
     std::map<std::string, std::size_t> runs;
@@ -178,7 +179,7 @@
     }
 }
 
-void ledger::settle(const std::vector<standins::seen_request>& ran,
+void ledger::settle(const std::vector<standins::received_request>& ran,
                     const std::map<std::string, batch_record>& batches, time_point calm_since)
 {
     std::map<std::string, std::string> batch_of;
@@ -195,7 +196,7 @@
             if (batch.refused) {
                 violation("REFUSED: " + seen.attempt_id + " ran, its batch was refused each time");
             }
-            if (batch.ended && seen.at > std::max(batch.ended_at, calm_since) + cancel_time) {
+            if (batch.ended && seen.received_at > std::max(batch.ended_at, calm_since) + cancel_time) {
                 violation("UNASKED: " + seen.attempt_id + " ran after the end of its batch");
             }
             continue;
--- a/tests/soak/ledger.hpp
+++ b/tests/soak/ledger.hpp
@@ -40,10 +40,10 @@
     void read(batch_record& batch, const std::string& id, const nlohmann::json& page);
     /// Compares all that replicas ran with all that callers were told.
     /// Until the links were whole again, at `calm_since`, a request may have been held back on its way.
-    void settle(const std::vector<standins::seen_request>& ran,
+    void settle(const std::vector<standins::received_request>& ran,
                 const std::map<std::string, batch_record>& batches, time_point calm_since);
     /// Requests that their gateway's planned stop cut, but for answers that a fault at the replica broke off.
-    void check_planned_stops(const signal_log& signals, const std::vector<standins::seen_request>& ran);
+    void check_planned_stops(const signal_log& signals, const std::vector<standins::received_request>& ran);
     void violation(std::string text);
 
     // Queries.
--- a/tests/soak/world.cpp
+++ b/tests/soak/world.cpp
@@ -85,11 +85,12 @@
     }
 }
 
-std::vector<standins::seen_request> world::ran() const
+std::vector<standins::received_request> world::ran() const
 {
-    std::vector<standins::seen_request> all;
+    std::vector<standins::received_request> all;
     for (const auto& placed : replicas_) {
-        all.insert(all.end(), placed.replica->ran.begin(), placed.replica->ran.end());
+        all.insert(all.end(), placed.replica->started_requests.begin(),
+                   placed.replica->started_requests.end());
     }
     return all;
 }
@@ -97,7 +98,7 @@
 bool world::replica_failed(const std::string& attempt_id, time_point sent_at) const
 {
     return std::any_of(replicas_.begin(), replicas_.end(), [&](const placed_replica& placed) {
-        const auto& runs = placed.replica->ran;
+        const auto& runs = placed.replica->started_requests;
         return std::any_of(runs.begin(), runs.end(), [&](const auto& run) {
             const bool failed = run.fault != replica_fault::none || placed.link->harmed_since(sent_at);
             return run.attempt_id == attempt_id && failed;
@@ -212,7 +213,7 @@
             store_.faults.delay_writes = 3;
         }
         else if (kind == 3) {
-            store_.forget_history();
+            store_.compact_history();
         }
     }
 }
--- a/tests/soak/world.hpp
+++ b/tests/soak/world.hpp
@@ -46,7 +46,7 @@
     time_point calm_since() const { return calm_since_; }
     std::uint64_t newest_version() const { return model_version_; }
     std::uint64_t configuration() const { return configuration_; }
-    std::vector<standins::seen_request> ran() const;
+    std::vector<standins::received_request> ran() const;
     /// Whether a replica that ran this request met a fault, or its link did since the request was sent.
     bool replica_failed(const std::string& attempt_id, time_point sent_at) const;
     const std::vector<placed_replica>& replicas() const { return replicas_; }
--- a/tests/stop/planned_stop_tests.cpp
+++ b/tests/stop/planned_stop_tests.cpp
@@ -64,7 +64,7 @@
     bool ran(const std::string& id)
     {
         return world.inspect_store<bool>([&](standins::fake_store&) {
-            return std::any_of(replica.ran.begin(), replica.ran.end(),
+            return std::any_of(replica.started_requests.begin(), replica.started_requests.end(),
                                [&](const auto& run) { return run.attempt_id == id; });
         });
     }
