--- a/tools/load/benchmark/policy_benchmark.cpp
+++ b/tools/load/benchmark/policy_benchmark.cpp
@@ -13,8 +13,8 @@
     policy::scheduler decisions(1, {});
     std::vector<policy::pool_target> pool;
     pool.reserve(static_cast<std::size_t>(targets));
-    for (std::int64_t place = 0; place < targets; ++place) {
-        pool.push_back({"target-" + std::to_string(place), "domain-" + std::to_string(place % 4), false});
+    for (std::int64_t index = 0; index < targets; ++index) {
+        pool.push_back({"target-" + std::to_string(index), "domain-" + std::to_string(index % 4), false});
     }
     decisions.update(pool, steady::now());
     return decisions;
@@ -36,7 +36,7 @@
 {
     auto decisions = filled(state.range(0));
     std::uint64_t id = 0;
-    for (std::int64_t place = 0; place < state.range(0) * 5; ++place) {
+    for (std::int64_t index = 0; index < state.range(0) * 5; ++index) {
         decisions.submit(request(++id, 0), steady::now());
     }
     for (auto _ : state) {
--- a/tools/load/events.cpp
+++ b/tools/load/events.cpp
@@ -82,7 +82,7 @@
     return timed_event{milliseconds{*at}, signal_event{*pid, signal->second}};
 }
 
-void play(const timed_event& event, node::channel_pool& targets)
+void trigger(const timed_event& event, node::channel_pool& targets)
 {
     if (const auto* fault = std::get_if<fault_event>(&event.what)) {
         send(*fault, targets);
--- a/tools/load/events.hpp
+++ b/tools/load/events.hpp
@@ -32,7 +32,7 @@
 /// `MS,PID,KILL`; also STOP, CONT and TERM.
 result<timed_event> parse_signal(const std::string& text);
 
-void play(const timed_event& event, node::channel_pool& targets);
+void trigger(const timed_event& event, node::channel_pool& targets);
 
 } // namespace vanillagauge::load
 
--- a/tools/load/main.cpp
+++ b/tools/load/main.cpp
@@ -21,7 +21,7 @@
 using namespace vanillagauge;
 
 constexpr std::size_t http_threads = 8;
-constexpr seconds longest_drain{60};
+constexpr seconds drain_timeout{60};
 
 struct run_options {
     load::plan_options plan;
@@ -75,7 +75,7 @@
     options.plan.traffic = value(traffic);
     options.plan.rate = rate.getValue();
     options.plan.length = seconds{length.getValue()};
-    options.plan.shape = surge.getValue() ? load::surge_shape::weather_turn : load::surge_shape::steady;
+    options.plan.shape = surge.getValue() ? load::load_shape::surge : load::load_shape::steady;
     options.plan.callers = std::max(1, callers.getValue());
     options.plan.hot_share = hot.getValue();
     options.plan.seed = static_cast<std::uint64_t>(seed.getValue());
@@ -97,14 +97,14 @@
     load::sender sender(options.sender, channels, results);
     const auto start = steady::now();
     for (const auto& event : options.events) {
-        loop.after(event.at, [&channels, &event] { load::play(event, channels); });
+        loop.after(event.at, [&channels, &event] { load::trigger(event, channels); });
     }
     for (const auto& request : plan) {
         std::this_thread::sleep_until(start + request.start);
         sender.send(request, start);
     }
-    const auto give_up = steady::now() + longest_drain;
-    while (sender.running() > 0 && steady::now() < give_up) {
+    const auto deadline = steady::now() + drain_timeout;
+    while (sender.running() > 0 && steady::now() < deadline) {
         std::this_thread::sleep_for(milliseconds{10});
     }
     auto all = results.as_json(options.plan.length);
--- a/tools/load/plan.cpp
+++ b/tools/load/plan.cpp
@@ -10,7 +10,7 @@
 
 double rate_at(const plan_options& options, duration since_start)
 {
-    const bool surges = options.shape == surge_shape::weather_turn && since_start > options.length / 3 &&
+    const bool surges = options.shape == load_shape::surge && since_start > options.length / 3 &&
                         since_start < options.length * 2 / 3;
     return surges ? options.rate * surge_factor : options.rate;
 }
--- a/tools/load/plan.hpp
+++ b/tools/load/plan.hpp
@@ -10,9 +10,9 @@
 
 namespace vanillagauge::load {
 
-enum class surge_shape {
+enum class load_shape {
     steady,
-    weather_turn, ///< ten times the rate in the middle third
+    surge, ///< ten times the rate in the middle third
 };
 
 /// The shares of one deployment's traffic.
@@ -29,7 +29,7 @@
     mix traffic;
     double rate = 100; ///< requests a second
     milliseconds length{10000};
-    surge_shape shape = surge_shape::steady;
+    load_shape shape = load_shape::steady;
     int callers = 50;
     double hot_share = 0; ///< share of the requests that one caller sends
     std::uint64_t seed = 1;
--- a/tools/load/report.cpp
+++ b/tools/load/report.cpp
@@ -11,9 +11,9 @@
     if (values.empty()) {
         return 0;
     }
-    const auto place = static_cast<std::ptrdiff_t>(share * static_cast<double>(values.size() - 1));
-    std::nth_element(values.begin(), values.begin() + place, values.end());
-    return std::chrono::duration<double, std::milli>(values[static_cast<std::size_t>(place)]).count();
+    const auto rank = static_cast<std::ptrdiff_t>(share * static_cast<double>(values.size() - 1));
+    std::nth_element(values.begin(), values.begin() + rank, values.end());
+    return std::chrono::duration<double, std::milli>(values[static_cast<std::size_t>(rank)]).count();
 }
 
 std::vector<std::string> groups_of(const planned_request& request)
@@ -29,14 +29,14 @@
     const std::lock_guard lock(mutex_);
     for (const auto& name : groups_of(request)) {
         auto& into = groups_[name];
-        ++into.asked;
+        ++into.requests;
         if (got.code != "ok") {
             ++into.refused[got.code + "." + std::string(vanillagauge::name(got.ran))];
-            into.turned_away.push_back(got.took);
+            into.refusal_times.push_back(got.latency);
             continue;
         }
-        ++(got.took <= request.deadline ? into.in_time : into.late);
-        into.answered.push_back(got.took);
+        ++(got.latency <= request.deadline ? into.in_time : into.late);
+        into.answer_times.push_back(got.latency);
     }
     if (!got.target.empty()) {
         ++by_target_[got.target][std::chrono::duration_cast<seconds>(request.start).count()];
@@ -50,16 +50,16 @@
     nlohmann::json all;
     for (const auto& [name, from] : groups_) {
         auto& into = all["groups"][name];
-        into["asked"] = from.asked;
+        into["asked"] = from.requests;
         into["in_time"] = from.in_time;
         into["late"] = from.late;
         into["goodput_per_s"] = static_cast<double>(from.in_time) / run_seconds;
         into["not_answered"] = from.refused;
-        into["p50_ms"] = quantile_ms(from.answered, 0.5);
-        into["p99_ms"] = quantile_ms(from.answered, 0.99);
-        into["p999_ms"] = quantile_ms(from.answered, 0.999);
-        into["refusal_p50_ms"] = quantile_ms(from.turned_away, 0.5);
-        into["refusal_p99_ms"] = quantile_ms(from.turned_away, 0.99);
+        into["p50_ms"] = quantile_ms(from.answer_times, 0.5);
+        into["p99_ms"] = quantile_ms(from.answer_times, 0.99);
+        into["p999_ms"] = quantile_ms(from.answer_times, 0.999);
+        into["refusal_p50_ms"] = quantile_ms(from.refusal_times, 0.5);
+        into["refusal_p99_ms"] = quantile_ms(from.refusal_times, 0.99);
     }
     for (const auto& [target, answers] : by_target_) {
         for (const auto& [second, count] : answers) {
--- a/tools/load/report.hpp
+++ b/tools/load/report.hpp
@@ -14,7 +14,7 @@
 
 /// One request's end. `took` counts from the intended start, so a late sender shows.
 struct answer {
-    duration took{};
+    duration latency{};
     std::string target; ///< that answered, where known
     std::string code;   ///< ok, or the error's code
     run_state ran = run_state::ran;
@@ -30,12 +30,12 @@
 
 private:
     struct group {
-        std::int64_t asked = 0;
+        std::int64_t requests = 0;
         std::int64_t in_time = 0;
         std::int64_t late = 0;
         std::map<std::string, std::int64_t> refused; ///< by code and run state
-        std::vector<duration> answered;
-        std::vector<duration> turned_away;
+        std::vector<duration> answer_times;
+        std::vector<duration> refusal_times;
     };
 
     mutable std::mutex mutex_;
--- a/tools/load/sender.cpp
+++ b/tools/load/sender.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Entries answer by themselves at the deadline; the rest is for the way.
-constexpr milliseconds way_time{2000};
+constexpr milliseconds timeout_margin{2000};
 constexpr int max_tokens = 64;
 
 } // namespace
@@ -18,8 +18,8 @@
 {
     ++running_;
     const auto intended = run_start + request.start;
-    if (options_.straight) {
-        call_straight(request, intended);
+    if (options_.direct) {
+        call_target(request, intended);
     }
     else if (request.generates) {
         generate(request, intended);
@@ -46,7 +46,7 @@
     message.set_caller(request.caller);
     message.set_priority(request.priority);
     wire::call_options options;
-    options.timeout = request.deadline + way_time;
+    options.timeout = request.deadline + timeout_margin;
     options.token = options_.token;
     wire::call<v1::CallReply>(next_channel(), wire::method<v1::Entry>("Call"), message, options,
                               [this, request, intended](const result<v1::CallReply>& reply) {
@@ -56,14 +56,14 @@
                               });
 }
 
-void sender::call_straight(const planned_request& request, time_point intended)
+void sender::call_target(const planned_request& request, time_point intended)
 {
     target::v1::CallRequest message;
     message.set_method("plan");
     message.set_request_id(request.id);
     message.set_body(request.id);
     wire::call_options options;
-    options.timeout = request.deadline + way_time;
+    options.timeout = request.deadline + timeout_margin;
     wire::call<target::v1::CallReply>(next_channel(), wire::method<target::v1::PlainService>("Call"), message,
                                       options,
                                       [this, request, intended](const result<target::v1::CallReply>& reply) {
@@ -81,7 +81,7 @@
     message.set_deadline_ms(request.deadline.count());
     message.set_caller(request.caller);
     wire::call_options options;
-    options.timeout = request.deadline + way_time;
+    options.timeout = request.deadline + timeout_margin;
     options.token = options_.token;
     wire::stream<v1::GenerateChunk>(
         next_channel(), wire::method<v1::Entry>("Generate"), message, options,
--- a/tools/load/sender.hpp
+++ b/tools/load/sender.hpp
@@ -14,7 +14,7 @@
     std::vector<std::string> addresses; ///< entries, or targets where `straight`
     std::string token;
     mix traffic;
-    bool straight = false; ///< to the targets, past the entries
+    bool direct = false; ///< to the targets, past the entries
 };
 
 class sender {
@@ -36,7 +36,7 @@
 
     wire::channel& next_channel();
     void call(const planned_request& request, time_point intended);
-    void call_straight(const planned_request& request, time_point intended);
+    void call_target(const planned_request& request, time_point intended);
     void generate(const planned_request& request, time_point intended);
     void done(const planned_request& request, time_point intended, const std::string& target,
               const error* failed);
--- a/tools/slopes/fleet_probe.cpp
+++ b/tools/slopes/fleet_probe.cpp
@@ -18,9 +18,9 @@
 
 using namespace vanillagauge;
 
-constexpr milliseconds poll_every{5};
+constexpr milliseconds poll_interval{5};
 constexpr milliseconds call_timeout{2000};
-constexpr milliseconds longest{30000};
+constexpr milliseconds max_wait{30000};
 constexpr milliseconds between_trials{300};
 
 struct fleet {
@@ -48,8 +48,8 @@
             continue;
         }
         pollers.emplace_back([&, keeper] {
-            while (steady::now() - started < longest && !reached(keeper)) {
-                std::this_thread::sleep_for(poll_every);
+            while (steady::now() - started < max_wait && !reached(keeper)) {
+                std::this_thread::sleep_for(poll_interval);
             }
             took[keeper] = remaining(started, steady::now());
         });
--- a/tools/slopes/membership_ways.cpp
+++ b/tools/slopes/membership_ways.cpp
@@ -6,11 +6,11 @@
 namespace vanillagauge::slopes {
 namespace {
 
-constexpr milliseconds beat_every{500};
+constexpr milliseconds heartbeat_interval{500};
 constexpr milliseconds dead_after{1500};
 constexpr milliseconds step{50};
 constexpr milliseconds span{10000};
-constexpr milliseconds longest{60000};
+constexpr milliseconds max_wait{60000};
 /// IP and UDP headers, authentication, a name, an incarnation and a heartbeat.
 constexpr std::size_t heartbeat_bytes = 100;
 /// A change in a message to the members: a name, an incarnation and a state.
@@ -20,15 +20,15 @@
 struct heartbeat_fleet {
     std::size_t domains = 0; ///< 0: no tree, everyone hears everyone
     std::vector<bool> running;
-    std::vector<std::vector<time_point>> heard; ///< by listener and speaker
-    std::vector<std::vector<bool>> holds_dead;
+    std::vector<std::vector<time_point>> last_received; ///< by listener and speaker
+    std::vector<std::vector<bool>> considered_dead;
     std::vector<std::size_t> bytes;
     std::vector<std::size_t> messages;
     time_point now{};
 
     heartbeat_fleet(std::size_t nodes, std::size_t domain_count)
-        : domains(domain_count), running(nodes, true), heard(nodes, std::vector<time_point>(nodes)),
-          holds_dead(nodes, std::vector<bool>(nodes, false)), bytes(nodes, 0), messages(nodes, 0)
+        : domains(domain_count), running(nodes, true), last_received(nodes, std::vector<time_point>(nodes)),
+          considered_dead(nodes, std::vector<bool>(nodes, false)), bytes(nodes, 0), messages(nodes, 0)
     {
     }
 
@@ -39,7 +39,7 @@
     std::size_t head_of(std::size_t domain, std::size_t by) const
     {
         for (std::size_t node = domain; node < size(); node += domains) {
-            if (!holds_dead[by][node]) {
+            if (!considered_dead[by][node]) {
                 return node;
             }
         }
@@ -68,11 +68,11 @@
         bytes[from] += size_in_bytes;
         ++messages[from];
         if (running[to]) {
-            heard[to][from] = now;
+            last_received[to][from] = now;
         }
     }
 
-    void beat()
+    void send_heartbeats()
     {
         for (std::size_t node = 0; node < size(); ++node) {
             if (running[node]) {
@@ -84,19 +84,19 @@
     }
 
     /// A death noticed by a head goes to its members and the other heads; members notice only their head's.
-    void judge(std::size_t node)
+    void detect_deaths(std::size_t node)
     {
         for (std::size_t other = 0; other < size(); ++other) {
-            if (other == node || holds_dead[node][other] || !listens_to(node, other) ||
-                now - heard[node][other] < dead_after) {
+            if (other == node || considered_dead[node][other] || !listens_to(node, other) ||
+                now - last_received[node][other] < dead_after) {
                 continue;
             }
-            holds_dead[node][other] = true;
+            considered_dead[node][other] = true;
             if (domains > 0 && is_head(node)) {
-                spread(node, other);
+                announce_death(node, other);
                 // A new head hears from its members only from now on.
                 for (std::size_t member = domain_of(node); member < size(); member += domains) {
-                    heard[node][member] = std::max(heard[node][member], now);
+                    last_received[node][member] = std::max(last_received[node][member], now);
                 }
             }
         }
@@ -114,18 +114,18 @@
         return own_domain && head_of(domain_of(node), node) == other;
     }
 
-    void spread(std::size_t head, std::size_t dead)
+    void announce_death(std::size_t head, std::size_t dead)
     {
         for (const auto other : receivers(head)) {
             send(head, other, heartbeat_bytes + change_bytes);
             if (!running[other]) {
                 continue;
             }
-            holds_dead[other][dead] = true;
+            considered_dead[other][dead] = true;
             if (domain_of(other) != domain_of(head)) {
                 for (std::size_t member = domain_of(other); member < size(); member += domains) {
                     send(other, member, heartbeat_bytes + change_bytes);
-                    holds_dead[member][dead] = true;
+                    considered_dead[member][dead] = true;
                 }
             }
         }
@@ -135,21 +135,21 @@
     {
         for (const auto end = now + time; now < end;) {
             now += step;
-            if ((now - time_point{}) % beat_every == duration{0}) {
-                beat();
+            if ((now - time_point{}) % heartbeat_interval == duration{0}) {
+                send_heartbeats();
             }
             for (std::size_t node = 0; node < size(); ++node) {
                 if (running[node]) {
-                    judge(node);
+                    detect_deaths(node);
                 }
             }
         }
     }
 
-    bool all_hold_dead(std::size_t dead) const
+    bool all_consider_dead(std::size_t dead) const
     {
         for (std::size_t node = 0; node < size(); ++node) {
-            if (running[node] && !holds_dead[node][dead]) {
+            if (running[node] && !considered_dead[node][dead]) {
                 return false;
             }
         }
@@ -163,13 +163,13 @@
     fleet.run(milliseconds{2000} + offset);
     fleet.running[victim] = false;
     const auto died = fleet.now;
-    while (!fleet.all_hold_dead(victim) && fleet.now - died < longest) {
+    while (!fleet.all_consider_dead(victim) && fleet.now - died < max_wait) {
         fleet.run(step);
     }
     return std::chrono::duration_cast<milliseconds>(fleet.now - died);
 }
 
-way_figures measure(std::size_t nodes, std::size_t domains)
+protocol_figures measure(std::size_t nodes, std::size_t domains)
 {
     heartbeat_fleet fleet(nodes, domains);
     const auto started = steady::now();
@@ -177,21 +177,21 @@
     const std::chrono::duration<double, std::micro> used = steady::now() - started;
     const double seconds_run = std::chrono::duration<double>(span).count();
     const auto count = static_cast<double>(nodes);
-    way_figures found;
+    protocol_figures found;
     found.messages_per_second =
         static_cast<double>(std::accumulate(fleet.messages.begin(), fleet.messages.end(), std::size_t{0})) /
         count / seconds_run;
     found.bytes_per_second =
         static_cast<double>(std::accumulate(fleet.bytes.begin(), fleet.bytes.end(), std::size_t{0})) / count /
         seconds_run;
-    found.most_bytes_per_second =
+    found.max_bytes_per_second =
         static_cast<double>(*std::max_element(fleet.bytes.begin(), fleet.bytes.end())) / seconds_run;
     found.processor_us_per_second = used.count() / count / seconds_run;
     constexpr int offsets = 5;
     for (int place = 0; place < offsets; ++place) {
         const auto took = time_to_detect(nodes, domains, nodes - 1, place * 2 * step);
         found.detected_mean += took / offsets;
-        found.detected_most = std::max(found.detected_most, took);
+        found.detected_max = std::max(found.detected_max, took);
     }
     found.key_node_detected = time_to_detect(nodes, domains, 0, milliseconds{0});
     return found;
@@ -199,12 +199,12 @@
 
 } // namespace
 
-way_figures direct_heartbeats(std::size_t nodes)
+protocol_figures direct_heartbeats(std::size_t nodes)
 {
     return measure(nodes, 0);
 }
 
-way_figures domain_tree(std::size_t nodes, std::size_t domains)
+protocol_figures domain_tree(std::size_t nodes, std::size_t domains)
 {
     return measure(nodes, domains);
 }
--- a/tools/slopes/membership_ways.hpp
+++ b/tools/slopes/membership_ways.hpp
@@ -10,21 +10,21 @@
 namespace vanillagauge::slopes {
 
 /// What one way costs and how fast it is, at one size.
-struct way_figures {
+struct protocol_figures {
     double messages_per_second = 0;     ///< sent by a node, mean
     double bytes_per_second = 0;        ///< sent by a node, mean
-    double most_bytes_per_second = 0;   ///< sent by the busiest node
+    double max_bytes_per_second = 0;    ///< sent by the busiest node
     double processor_us_per_second = 0; ///< of a node
     milliseconds detected_mean{0};      ///< from a death until all others hold the node for dead
-    milliseconds detected_most{0};
+    milliseconds detected_max{0};
     milliseconds key_node_detected{0}; ///< the same for the node whose death hurts most
 };
 
 /// Every node sends a heartbeat to every other each 500 ms; three missed ones are a death.
-way_figures direct_heartbeats(std::size_t nodes);
+protocol_figures direct_heartbeats(std::size_t nodes);
 /// Nodes send heartbeats to the head of their failure domain, the heads to each other, and each tells its
 /// members of every change.
-way_figures domain_tree(std::size_t nodes, std::size_t domains);
+protocol_figures domain_tree(std::size_t nodes, std::size_t domains);
 
 } // namespace vanillagauge::slopes
 
--- a/tools/slopes/membership_weighing.cpp
+++ b/tools/slopes/membership_weighing.cpp
@@ -14,7 +14,7 @@
 
 constexpr milliseconds settle{3000};
 constexpr milliseconds span{20000};
-constexpr milliseconds longest{60000};
+constexpr milliseconds max_wait{60000};
 constexpr std::size_t trials = 5;
 constexpr std::uint64_t config_trials = 20;
 
@@ -39,13 +39,13 @@
             }
             return true;
         },
-        longest);
+        max_wait);
 }
 
 struct probe_figures {
-    slopes::way_figures common;
+    slopes::protocol_figures common;
     milliseconds no_work_mean{0}; ///< until no node shows the victim as alive
-    milliseconds no_work_most{0};
+    milliseconds no_work_max{0};
     double compared_bytes_per_second = 0;
 };
 
@@ -77,7 +77,7 @@
         const auto bytes = static_cast<double>(one.sent_bytes) / seconds_run;
         found.common.messages_per_second += static_cast<double>(one.sent) / seconds_run / count;
         found.common.bytes_per_second += bytes / count;
-        found.common.most_bytes_per_second = std::max(found.common.most_bytes_per_second, bytes);
+        found.common.max_bytes_per_second = std::max(found.common.max_bytes_per_second, bytes);
         found.compared_bytes_per_second += static_cast<double>(one.compared_bytes) / seconds_run / count;
     }
     found.common.processor_us_per_second = used.count() / count / seconds_run;
@@ -85,11 +85,11 @@
         const auto dead = detect(nodes, domains, trial, false);
         const auto no_work = detect(nodes, domains, trial, true);
         found.common.detected_mean += dead / trials;
-        found.common.detected_most = std::max(found.common.detected_most, dead);
+        found.common.detected_max = std::max(found.common.detected_max, dead);
         found.no_work_mean += no_work / trials;
-        found.no_work_most = std::max(found.no_work_most, no_work);
+        found.no_work_max = std::max(found.no_work_max, no_work);
     }
-    found.common.key_node_detected = found.common.detected_most;
+    found.common.key_node_detected = found.common.detected_max;
     return found;
 }
 
@@ -108,30 +108,30 @@
                     loop.machines().begin(), loop.machines().end(),
                     [version](const auto& entry) { return entry.second.config_version >= version; });
             },
-            longest));
+            max_wait));
         loop.run(milliseconds{2000});
     }
     std::sort(took.begin(), took.end());
     return {took[took.size() / 2], took.back()};
 }
 
-void print(const char* way, std::size_t nodes, const slopes::way_figures& found, const std::string& more,
+void print(const char* way, std::size_t nodes, const slopes::protocol_figures& found, const std::string& more,
            bool last)
 {
     std::printf(
         "  {\"way\":\"%s\",\"nodes\":%zu,\"messages_per_second\":%.1f,\"bytes_per_second\":%.0f,"
         "\"most_bytes_per_second\":%.0f,\"processor_us_per_second\":%.0f,\"dead_everywhere_mean_ms\":%lld,"
         "\"dead_everywhere_most_ms\":%lld,\"head_dead_everywhere_ms\":%lld%s}%s\n",
-        way, nodes, found.messages_per_second, found.bytes_per_second, found.most_bytes_per_second,
+        way, nodes, found.messages_per_second, found.bytes_per_second, found.max_bytes_per_second,
         found.processor_us_per_second, static_cast<long long>(found.detected_mean.count()),
-        static_cast<long long>(found.detected_most.count()),
+        static_cast<long long>(found.detected_max.count()),
         static_cast<long long>(found.key_node_detected.count()), more.c_str(), last ? "" : ",");
 }
 
 std::string extra(const probe_figures& found)
 {
     return ",\"not_alive_everywhere_mean_ms\":" + std::to_string(found.no_work_mean.count()) +
-           ",\"not_alive_everywhere_most_ms\":" + std::to_string(found.no_work_most.count()) +
+           ",\"not_alive_everywhere_most_ms\":" + std::to_string(found.no_work_max.count()) +
            ",\"compared_bytes_per_second\":" +
            std::to_string(static_cast<long long>(found.compared_bytes_per_second));
 }
