--- a/standins/platform/main.cpp
+++ b/standins/platform/main.cpp
@@ -39,5 +39,5 @@
     }
     node::print_ready("vg-fake-platform", {{"http_address", value(address)}});
     node::wait_for_stop();
-    std::_Exit(node::exit_success); // waiting watches need no answer from a stand-in
+    std::_Exit(node::exit_success); // a stand-in need not answer pending watches
 }
--- a/standins/platform/object_store.hpp
+++ b/standins/platform/object_store.hpp
@@ -1,4 +1,4 @@
-/// The objects of the stand-in platform, in memory.
+/// In-memory object store of the stand-in platform.
 #ifndef VANILLAGAUGE_STANDINS_PLATFORM_OBJECT_STORE_HPP
 #define VANILLAGAUGE_STANDINS_PLATFORM_OBJECT_STORE_HPP
 
@@ -11,13 +11,13 @@
 
 namespace vanillagauge::standins {
 
-/// Not safe for several threads.
+/// Not thread-safe.
 class object_store {
 public:
     platform::v1::WriteReply write(const platform::v1::WriteRequest& request);
     platform::v1::ReadReply read(const std::string& kind, const std::string& name) const;
     platform::v1::ListReply list(const std::string& kind) const;
-    /// Everything of these kinds that changed after `revision`, deletions too.
+    /// Objects of the requested kinds changed after the request's revision, deleted ones included.
     platform::v1::WatchReply changes(const platform::v1::WatchRequest& request) const;
     void compact_below(std::uint64_t revision) { compacted_revision_ = revision; }
 
--- a/standins/platform/services.hpp
+++ b/standins/platform/services.hpp
@@ -1,4 +1,4 @@
-/// The services of the stand-in platform, with the faults that its control port plays.
+/// The services of the stand-in platform, with faults set through its control service.
 #ifndef VANILLAGAUGE_STANDINS_PLATFORM_SERVICES_HPP
 #define VANILLAGAUGE_STANDINS_PLATFORM_SERVICES_HPP
 
@@ -37,7 +37,7 @@
     platform_state& state_;
     wire::event_loop& loop_;
 
-    /// Runs `work` under the lock after the played delay; false where the store plays an outage.
+    /// Runs `work` under the lock after the injected delay; fails the call in an injected outage.
     void serve(google::protobuf::RpcController* control, google::protobuf::Closure* done,
                std::function<void()> work);
 };
@@ -52,7 +52,7 @@
     platform_state& state_;
 };
 
-/// Grants a fetch when a token of its rate limit is there.
+/// Limits the rate of fetches by a token bucket.
 class weight_store final : public platform::v1::WeightStore {
 public:
     explicit weight_store(int fetches_per_second) : rate_(fetches_per_second) {}
--- a/standins/target/engine.cpp
+++ b/standins/target/engine.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t max_cache_events = 256;
 constexpr std::size_t prefix_length = 64;
-/// Shape of the length distribution: most samples are short, a few take nearly all their tokens.
+/// Log-normal lengths: most samples are short, a few come close to their token limit.
 constexpr double length_sigma = 0.8;
 constexpr double median_share = 0.25;
 
@@ -30,7 +30,7 @@
     return std::clamp(static_cast<int>(lengths(drawn)), 1, std::max(1, max_tokens));
 }
 
-/// An engine that loads weights makes no tokens; its streams go on afterwards.
+/// Streams pause while weights load and resume afterwards.
 milliseconds engine::remaining_load_time() const
 {
     return remaining(steady::now(), loading_until_);
@@ -220,7 +220,7 @@
         const std::lock_guard lock(mutex_);
         reply->set_next(next_cache_event_);
         for (const auto& event : cache_events_) {
-            // Every seventh event is lost, as an engine's own feed has gaps.
+            // Drops every seventh event: the feeds of real engines have gaps.
             if (event.sequence() >= request->since() && event.sequence() % 7 != 0) {
                 *reply->add_events() = event;
             }
--- a/standins/target/engine.hpp
+++ b/standins/target/engine.hpp
@@ -1,4 +1,4 @@
-/// A stand-in model engine: streams tokens with version labels, swaps weights, reports load with a lag.
+/// A stand-in model engine: streams tokens with version labels, swaps weights, reports load with a delay.
 #ifndef VANILLAGAUGE_STANDINS_TARGET_ENGINE_HPP
 #define VANILLAGAUGE_STANDINS_TARGET_ENGINE_HPP
 
@@ -19,7 +19,7 @@
 struct engine_options {
     milliseconds chunk_time{20}; ///< time for one chunk at an idle engine
     int chunk_tokens = 8;
-    int capacity = 16;           ///< streams at full speed; more share it
+    int capacity = 16;           ///< concurrent streams at full speed; more share the throughput
     milliseconds load_time{300}; ///< time to load a version
     std::uint64_t version = 1;
     std::uint64_t seed = 1;
@@ -71,7 +71,7 @@
     std::deque<target::v1::CacheEvent> cache_events_;
     std::uint64_t next_cache_event_ = 1;
 
-    /// The same for the same sample on any engine: what follows a '#' in its id names only the stream.
+    /// The same for a sample on every engine: the part of the id after '#' names only the stream.
     int draw_length(const std::string& request_id, int max_tokens) const;
     milliseconds remaining_load_time() const;
     void send_chunk(const stream_ptr& running);
--- a/standins/target/faults.hpp
+++ b/standins/target/faults.hpp
@@ -1,4 +1,4 @@
-/// The faults that a stand-in target plays, and what it counts.
+/// Injected faults and counters of a stand-in target.
 #ifndef VANILLAGAUGE_STANDINS_TARGET_FAULTS_HPP
 #define VANILLAGAUGE_STANDINS_TARGET_FAULTS_HPP
 
@@ -18,9 +18,9 @@
     std::map<std::string, int> runs; ///< by request id
 
     target::v1::FaultRequest current();
-    /// Counts a run; a request id that ran before counts as doubled.
+    /// Counts a run; a repeated request id also counts in runs_doubled.
     void count_run(const std::string& request_id);
-    /// Ends the process where the text holds what the played fault crashes on.
+    /// Exits the process if the text contains the active fault's crash_on.
     void crash_if_requested(const std::string& text);
 };
 
--- a/standins/target/main.cpp
+++ b/standins/target/main.cpp
@@ -69,5 +69,5 @@
     }
     node::print_ready("vg-fake-target", {{"http_address", value(address)}});
     node::wait_for_stop();
-    std::_Exit(node::exit_success); // streams in flight need no answer from a stand-in
+    std::_Exit(node::exit_success); // a stand-in need not finish its open streams
 }
--- a/standins/target/plain_service.hpp
+++ b/standins/target/plain_service.hpp
@@ -1,4 +1,4 @@
-/// A stand-in plain service: answers calls and scores samples after a set time.
+/// A stand-in plain service: answers calls and scores samples after a configured time.
 #ifndef VANILLAGAUGE_STANDINS_TARGET_PLAIN_SERVICE_HPP
 #define VANILLAGAUGE_STANDINS_TARGET_PLAIN_SERVICE_HPP
 
@@ -10,7 +10,7 @@
 
 struct service_options {
     milliseconds service_time{5};
-    int workers = 16; ///< calls served at once; the others wait in the service
+    int workers = 16; ///< calls served concurrently; others queue in the service
 };
 
 class plain_service final : public target::v1::PlainService {
@@ -34,7 +34,7 @@
     std::mutex mutex_;
     std::vector<time_point> worker_free_at_;
 
-    /// When a worker will have served one more call.
+    /// Assigns a call to the first free worker; returns the time until it is done.
     milliseconds reserve_worker(milliseconds extra);
 };
 
--- a/standins/trainer/main.cpp
+++ b/standins/trainer/main.cpp
@@ -1,4 +1,5 @@
-/// vg-fake-trainer: a stand-in trainer that pulls a job's samples, checks them, and announces new weights.
+/// vg-fake-trainer: a stand-in trainer that pulls a job's samples, checks them, and reports its weights
+/// version.
 
 #include "node/channel_pool.hpp"
 #include "node/program.hpp"
@@ -32,11 +33,11 @@
     milliseconds train_time{200};
     std::uint64_t version = 1;
     milliseconds run_timeout{120000};
-    int lose_cursor_at = -1; ///< forget the cursor once, in the middle of this step; -1: never
-    int lose_reply_at = -1;  ///< once drop a reply of this step as if it had not come; -1: never
+    int lose_cursor_at = -1; ///< step in the middle of which the cursor is discarded once; -1: never
+    int lose_reply_at = -1;  ///< step of which one reply is dropped as if lost; -1: never
 };
 
-/// Step, group and index: what must come once, whatever id it bears.
+/// Step, group and index: must be delivered once, whatever the sample's id.
 using slot_name = std::tuple<std::int64_t, int, int>;
 
 struct trainer_report {
@@ -150,7 +151,7 @@
         return reply.step_complete();
     }
 
-    /// The step begins again, as after a lost cursor: what is held of it is not trained on.
+    /// The step restarts, as after a lost cursor: discards its samples, so that they count once.
     void drop_step(std::int64_t step)
     {
         ++report_.restarts;
--- a/standins/users/fake_replica.hpp
+++ b/standins/users/fake_replica.hpp
@@ -1,5 +1,5 @@
-/// A stand-in for one of the users' replicas: plain answers, event streams and weights, with faults by
-/// script.
+/// A stand-in for one of the users' replicas: plain answers, event streams and weights, with scripted
+/// faults.
 #ifndef VANILLAGAUGE_STANDINS_USERS_FAKE_REPLICA_HPP
 #define VANILLAGAUGE_STANDINS_USERS_FAKE_REPLICA_HPP
 
@@ -15,17 +15,17 @@
 
 namespace vanillagauge::standins {
 
-/// What the replica does with the next request that it would run.
+/// Fault injected into the next request that would run.
 enum class replica_fault {
     none,
-    shed,          ///< refuses it, not run
+    shed,          ///< answers 503 without running it
     reset,         ///< runs it and resets the connection without an answer
     silent,        ///< runs it and never answers
     fail,          ///< answers 500
     unprocessable, ///< answers 422
     other_attempt, ///< answers with another attempt's id
     no_stamp,      ///< answers without its authentication code
-    cut_stream,    ///< breaks off in the middle of an event
+    cut_stream,    ///< closes the connection in the middle of an event
 };
 
 struct received_request {
@@ -47,20 +47,20 @@
     result<std::string> open();
     const std::string& address() const { return address_; }
     const std::string& id() const { return id_; }
-    /// The entry that the replica keeps in the store.
+    /// The replica's registration in the store.
     nlohmann::json entry(const std::string& service, const std::string& model,
                          const std::string& state) const;
 
-    int events = 4;                                 ///< of each stream
-    milliseconds event_interval{5};                 ///< between two of them
-    milliseconds work_time{0};                      ///< before an answer
+    int events = 4;                                 ///< per stream
+    milliseconds event_interval{5};                 ///< between two events
+    milliseconds work_time{0};                      ///< before a plain answer
     std::uint64_t version = 1;                      ///< of its weights
-    std::vector<replica_fault> script;              ///< for the next requests, in order
-    std::set<std::string> always_fail;              ///< attempts that are answered 500 each time
-    std::vector<received_request> started_requests; ///< requests that began to run
-    std::vector<nlohmann::json> orders;             ///< in the order of their arrival
-    std::vector<time_point> order_times;            ///< of each of them
-    int cancelled = 0;                              ///< runs whose client left before the end
+    std::vector<replica_fault> script;              ///< faults of the next requests, in order
+    std::set<std::string> always_fail;              ///< attempt ids always answered 500
+    std::vector<received_request> started_requests; ///< all that started to run
+    std::vector<nlohmann::json> orders;             ///< in order of arrival
+    std::vector<time_point> order_times;            ///< arrival time of each order
+    int cancelled = 0;                              ///< runs whose client disconnected before the end
 
 private:
     net::loop& loop_;
@@ -72,13 +72,13 @@
     net::task<void> serve(const net::http_request& request, net::responder& answer);
     net::task<void> run(const net::http_request& request, net::responder& answer, replica_fault fault);
     net::task<void> stream(const net::http_request& request, net::responder& answer, replica_fault fault);
-    /// The status to answer with; throws json::exception where the order lacks something.
+    /// Returns the HTTP status; throws json::exception if a field is missing.
     int apply_order(const nlohmann::json& order);
     net::task<void> handle_order(const net::http_request& request, net::responder& answer);
     net::http_fields response_fields(const net::http_request& request, replica_fault fault) const;
 };
 
-/// The text of the event with this number, as an item's result holds it.
+/// Data of the event with this number, as expected in the item's result.
 std::string event_text(const std::string& item, std::uint64_t number);
 
 } // namespace vanillagauge::standins
--- a/standins/users/fake_store.cpp
+++ b/standins/users/fake_store.cpp
@@ -22,7 +22,7 @@
     return response;
 }
 
-/// Kind and name; the name is empty for a whole kind, and `status` follows it for a status.
+/// Kind, name and subresource (`status` or empty); the name is empty in a list request.
 std::vector<std::string> split(std::string_view path)
 {
     path.remove_prefix(std::min(path.size(), objects_path.size()));
@@ -36,7 +36,7 @@
     return parts;
 }
 
-/// Zero where the text is no number.
+/// Zero if the text is not a number.
 std::uint64_t to_number(const std::string& text)
 {
     std::uint64_t number = 0;
--- a/standins/users/fake_store.hpp
+++ b/standins/users/fake_store.hpp
@@ -1,6 +1,6 @@
-/// A stand-in for the users' metadata store: objects with revisions, watches, and the faults that tests ask
-/// for. A call that is none of the store's is told so on stderr and refused: its port may have belonged to
-/// another program, whose clients still call.
+/// A stand-in for the users' metadata store: objects with revisions, watches and injected faults. Requests
+/// for other paths are refused and logged to stderr: the port may have belonged to another program whose
+/// clients still call it.
 #ifndef VANILLAGAUGE_STANDINS_USERS_FAKE_STORE_HPP
 #define VANILLAGAUGE_STANDINS_USERS_FAKE_STORE_HPP
 
@@ -16,13 +16,13 @@
 
 namespace vanillagauge::standins {
 
-/// What the store does with calls, until it is told otherwise.
+/// Faults injected into the store's calls; in force until changed.
 struct store_faults {
-    bool refuse = false;  ///< answers 503 and does nothing
-    int lose_answers = 0; ///< so many writes are done and their connection closed without an answer
-    int delay_writes = 0; ///< so many writes get no answer and are done later, where their condition holds
-    milliseconds write_delay{0}; ///< that much later
-    bool second_silent = false;  ///< calls at the second address, waiting ones too, get no answer
+    bool refuse = false;  ///< answers 503 without executing the call
+    int lose_answers = 0; ///< number of writes applied whose connection is closed without a response
+    int delay_writes = 0; ///< number of writes left unanswered and applied later, if their precondition holds
+    milliseconds write_delay{0}; ///< of those writes
+    bool second_silent = false;  ///< requests at the second address, pending ones too, get no response
 };
 
 class fake_store {
@@ -30,20 +30,20 @@
     explicit fake_store(net::loop& loop);
 
     result<std::string> open() { return service_.open("127.0.0.1:0"); }
-    /// Another address of the same store, for callers that a fault concerns alone.
+    /// Opens a second address of the same store, so that a fault can affect some clients only.
     result<std::string> open_second() { return second_service_.open("127.0.0.1:0"); }
-    /// Writes as the operator or a replica does.
+    /// Writes unconditionally, on behalf of the operator or a replica.
     void put(const std::string& kind, const std::string& name, nlohmann::json specification);
     void remove(const std::string& kind, const std::string& name);
-    /// Watches from before now are told that their history is gone.
+    /// Discards the history; watches from an earlier revision get 410.
     void compact_history();
 
     store_faults faults;
 
-    /// Null where there is none.
+    /// Null if the object does not exist.
     nlohmann::json find(const std::string& kind, const std::string& name) const;
     std::size_t count(const std::string& kind) const;
-    /// Calls that would change something, refused ones too.
+    /// Write requests, rejected ones included, but none answered under `faults.refuse`.
     std::uint64_t write_calls() const { return write_calls_; }
     std::uint64_t list_calls(const std::string& kind) const;
 
@@ -74,7 +74,7 @@
     net::task<void> write_later(net::http_request request);
     net::http_response list(const std::string& kind, const std::string& after) const;
     net::http_response write(const net::http_request& request);
-    /// The object of a POST or PUT, with its name; throws json::exception where the body holds none.
+    /// Applies a POST or PUT; throws json::exception if the body lacks a required field.
     net::http_response write_object(const net::http_request& request);
     nlohmann::json store(const key& at, nlohmann::json object);
 };
