--- a/fuzzing/input_tests.cpp
+++ b/fuzzing/input_tests.cpp
@@ -7,8 +7,8 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-// What strangers send and operators write, damaged in every place. Each reader answers with a value or a
-// typed error; under the sanitizers the same runs show reads out of bounds.
+// Mutated input of clients and operators: each parser must return a value or a typed error. Under the
+// sanitizers the same tests catch reads out of bounds.
 
 namespace vanillagauge {
 namespace {
@@ -20,7 +20,7 @@
   "entry": {"http_listen": "127.0.0.1:0"}
 })";
 
-RC_GTEST_PROP(settings_text, that_is_damaged_is_read_or_refused_by_name, ())
+RC_GTEST_PROP(settings_text, mutated_settings_parse_or_name_the_file, ())
 {
     const auto parsed = config::parse_settings(fuzzing::mutated(valid_settings), "vm.json");
     if (ok(parsed)) {
@@ -34,7 +34,7 @@
     }
 }
 
-RC_GTEST_PROP(call_key_text, of_a_pair_names_the_same_pair_again, ())
+RC_GTEST_PROP(call_key_text, formatted_key_parses_to_its_pair, ())
 {
     const claims::claim_pair pair{{"aph-1", *rc::gen::arbitrary<std::uint64_t>()},
                                   {"aph-2", *rc::gen::arbitrary<std::uint64_t>()}};
@@ -46,7 +46,7 @@
     RC_ASSERT(value(parsed).expires_ms == expires);
 }
 
-RC_GTEST_PROP(call_key_text, that_is_damaged_is_a_key_or_refused_as_not_run, ())
+RC_GTEST_PROP(call_key_text, mutated_key_parses_or_fails_as_not_run, ())
 {
     const auto prefix = claims::format_prefix({{"aph-1", 17}, {"aph-2", 18}}, 1700000000000, 99);
     const auto parsed = claims::parse_key(fuzzing::mutated(prefix + "s1"));
@@ -56,8 +56,8 @@
     }
 }
 
-/// A trainer's cursor is the only ledger of its samples: a damaged one that passed would skip or double some.
-RC_GTEST_PROP(cursor_text, that_is_damaged_is_never_taken_for_another_position, ())
+/// A trainer's cursor is the only record of its samples: accepting a damaged one would skip or repeat some.
+RC_GTEST_PROP(cursor_text, mutated_cursor_never_yields_another_position, ())
 {
     samples::cursor position = samples::empty_cursor("reply-tuning", 3, 24);
     for (std::size_t slot = 0; slot < position.taken.size(); ++slot) {
@@ -82,8 +82,8 @@
     return bytes;
 }
 
-/// Feeds in pieces as a socket would; the frames are what the pieces cannot change.
-RC_GTEST_PROP(frames, come_out_whole_and_in_order_however_the_bytes_are_cut, ())
+/// A socket may split the bytes anywhere; the frames must not depend on it.
+RC_GTEST_PROP(frames, split_reads_keep_payloads_and_order, ())
 {
     const auto encoding = *rc::gen::element(wire::codec::json, wire::codec::protobuf);
     const auto payloads = *rc::gen::container<std::vector<std::string>>(
@@ -104,7 +104,7 @@
     RC_ASSERT(received == payloads);
 }
 
-RC_GTEST_PROP(frames, of_a_damaged_stream_stay_within_its_bytes, ())
+RC_GTEST_PROP(frames, mutated_stream_yields_only_its_own_bytes, ())
 {
     const auto encoding = *rc::gen::element(wire::codec::json, wire::codec::protobuf);
     const auto bytes = fuzzing::mutated(stream_of(encoding, {"one", R"({"a": 1})", "three"}) +
--- a/fuzzing/mutation.hpp
+++ b/fuzzing/mutation.hpp
@@ -1,4 +1,4 @@
-/// Damaged copies of valid input: bytes changed, dropped, doubled, or the end cut off.
+/// Mutated copies of valid input: bytes replaced, removed, inserted or repeated, or the end cut off.
 #ifndef VANILLAGAUGE_FUZZING_MUTATION_HPP
 #define VANILLAGAUGE_FUZZING_MUTATION_HPP
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// `valid` with one to eight damages.
+/// Applies one to eight mutations.
 inline std::string mutated(std::string valid)
 {
     const auto times = *rc::gen::inRange(1, 9);
