--- a/tools/claims_cost/main.cpp
+++ b/tools/claims_cost/main.cpp
@@ -55,7 +55,7 @@
     }
 }
 
-/// Nanoseconds of processor time for each key; other programs on the machine count for nothing.
+/// Processor time for each key in nanoseconds, so that other programs on the machine do not count.
 template <class Work>
 double time_per_key(std::size_t keys, Work work)
 {
--- a/tools/load/benchmark/policy_benchmark.cpp
+++ b/tools/load/benchmark/policy_benchmark.cpp
@@ -31,7 +31,7 @@
     return item;
 }
 
-/// A third of the fleet's places are taken, as on an ordinary day.
+/// A third of the fleet's capacity is in use, a usual load.
 void admit_and_place(benchmark::State& state, bool with_prefix)
 {
     auto decisions = filled(state.range(0));
@@ -50,7 +50,7 @@
     }
 }
 
-/// Every place is taken: the request goes through the line.
+/// The fleet is full: the request passes through the queue.
 void queue_and_place(benchmark::State& state)
 {
     auto decisions = filled(state.range(0));
--- a/tools/load/events.hpp
+++ b/tools/load/events.hpp
@@ -1,4 +1,4 @@
-/// Faults that a load run plays at set times: on stand-ins by their control port, on processes by signal.
+/// Timed faults of a load run: set through the control service of stand-ins, or signals to processes.
 #ifndef VANILLAGAUGE_TOOLS_LOAD_EVENTS_HPP
 #define VANILLAGAUGE_TOOLS_LOAD_EVENTS_HPP
 
--- a/tools/load/plan.hpp
+++ b/tools/load/plan.hpp
@@ -1,4 +1,4 @@
-/// What a load run sends and when: an open loop, so arrivals do not wait for answers.
+/// Open-loop schedule of a load run: arrivals do not wait for answers.
 #ifndef VANILLAGAUGE_TOOLS_LOAD_PLAN_HPP
 #define VANILLAGAUGE_TOOLS_LOAD_PLAN_HPP
 
@@ -15,13 +15,13 @@
     surge, ///< ten times the rate in the middle third
 };
 
-/// The shares of one deployment's traffic.
+/// Composition of the traffic.
 struct mix {
     std::string service;       ///< deployment of plain services
     std::string engines;       ///< deployment of engines; empty: none
     double generate_share = 0; ///< of all requests
-    double gate_share = 0;     ///< of calls; the others are members' but for batch_share
-    double batch_share = 0;
+    double gate_share = 0;     ///< of calls: priority `gate`
+    double batch_share = 0;    ///< of the other calls: priority `batch`; the rest have `member`
     milliseconds call_deadline{1000};
 };
 
@@ -36,7 +36,7 @@
 };
 
 struct planned_request {
-    duration start{}; ///< after the run's beginning
+    duration start{}; ///< offset from the start of the run
     std::string id;
     std::string caller;
     std::string priority;
@@ -44,10 +44,10 @@
     milliseconds deadline{0};
 };
 
-/// In the order of their starts; the same for the same options.
+/// Sorted by start; the same for the same options.
 std::vector<planned_request> make_plan(const plan_options& options);
 
-/// The mixes of the users: `aphrodisia` and `casco-limpo`. The service alone for `calls`.
+/// Known mixes: `aphrodisia`, `casco-limpo`, and `calls` for the plain service alone.
 result<mix> find_mix(const std::string& name);
 
 } // namespace vanillagauge::load
--- a/tools/load/report.hpp
+++ b/tools/load/report.hpp
@@ -1,4 +1,4 @@
-/// What callers got in a load run, as JSON and as a table.
+/// Results of a load run as callers saw them, as JSON and as a table.
 #ifndef VANILLAGAUGE_TOOLS_LOAD_REPORT_HPP
 #define VANILLAGAUGE_TOOLS_LOAD_REPORT_HPP
 
@@ -12,15 +12,15 @@
 
 namespace vanillagauge::load {
 
-/// One request's end. `took` counts from the intended start, so a late sender shows.
+/// Outcome of one request. `latency` counts from the intended start, so that a late sender shows.
 struct answer {
     duration latency{};
-    std::string target; ///< that answered, where known
+    std::string target; ///< that answered, if known
     std::string code;   ///< ok, or the error's code
     run_state ran = run_state::ran;
 };
 
-/// Safe for several threads.
+/// Thread-safe.
 class report {
 public:
     void add(const planned_request& request, const answer& got);
--- a/tools/load/sender.cpp
+++ b/tools/load/sender.cpp
@@ -8,7 +8,7 @@
 namespace vanillagauge::load {
 namespace {
 
-/// Entries answer by themselves at the deadline; the rest is for the way.
+/// Entries answer by the deadline themselves; this covers the network.
 constexpr milliseconds timeout_margin{2000};
 constexpr int max_tokens = 64;
 
--- a/tools/load/sender.hpp
+++ b/tools/load/sender.hpp
@@ -1,4 +1,4 @@
-/// Sends planned requests at their times and collects what came back.
+/// Sends planned requests on schedule and collects the results.
 #ifndef VANILLAGAUGE_TOOLS_LOAD_SENDER_HPP
 #define VANILLAGAUGE_TOOLS_LOAD_SENDER_HPP
 
@@ -11,10 +11,10 @@
 namespace vanillagauge::load {
 
 struct sender_options {
-    std::vector<std::string> addresses; ///< entries, or targets where `straight`
+    std::vector<std::string> addresses; ///< of entries, or of targets if `direct`
     std::string token;
     mix traffic;
-    bool direct = false; ///< to the targets, past the entries
+    bool direct = false; ///< calls targets, bypassing the entries
 };
 
 class sender {
--- a/tools/slopes/fleet_probe.cpp
+++ b/tools/slopes/fleet_probe.cpp
@@ -1,5 +1,5 @@
-/// Measures a running fleet of keepers from outside: how long a configuration takes to be everywhere, and how
-/// long a node that died or was paused is still shown as alive. Prints one JSON object.
+/// Measures a running fleet of keepers as a client: how long a configuration change takes to reach all
+/// keepers, and how long a dead or paused node is still reported alive. Prints one JSON object.
 
 #include "node/program.hpp"
 #include "vanillagauge.pb.h"
@@ -37,7 +37,7 @@
                                       all.options);
 }
 
-/// Polls every keeper but `without` until `reached`; the time from `started` for each.
+/// Polls every keeper but `without` until `reached`; returns the time of each since `started`.
 std::vector<milliseconds> times_until(fleet& all, std::size_t without, time_point started,
                                       const std::function<bool(std::size_t keeper)>& reached)
 {
@@ -60,7 +60,8 @@
     return took;
 }
 
-/// Applies a change of one object through the keepers in turn; the time of each until the last keeper has it.
+/// Applies a change of one object through the keepers in turn; returns the time until the last keeper has
+/// each.
 std::vector<milliseconds> config_times(fleet& all, int trials)
 {
     const auto name = "probe-" + std::to_string(node::new_incarnation());
@@ -97,7 +98,7 @@
     return everywhere;
 }
 
-/// Sends the signal; the time until the last other keeper shows the VM as anything but alive.
+/// Sends the signal; returns the time until no other keeper reports the VM alive.
 milliseconds death_time(fleet& all, std::size_t victim, const std::string& vm, pid_t process, int signal)
 {
     const auto started = steady::now();
--- a/tools/slopes/membership_ways.cpp
+++ b/tools/slopes/membership_ways.cpp
@@ -13,14 +13,15 @@
 constexpr milliseconds max_wait{60000};
 /// IP and UDP headers, authentication, a name, an incarnation and a heartbeat.
 constexpr std::size_t heartbeat_bytes = 100;
-/// A change in a message to the members: a name, an incarnation and a state.
+/// A membership change in a message: a name, an incarnation and a state.
 constexpr std::size_t change_bytes = 40;
 
-/// A fleet in which each node hears from some others. The head of a domain is its first living node.
+/// A fleet in which each node receives heartbeats from some others. The head of a domain is its first living
+/// node.
 struct heartbeat_fleet {
-    std::size_t domains = 0; ///< 0: no tree, everyone hears everyone
+    std::size_t domains = 0; ///< 0: no tree, all nodes send to all
     std::vector<bool> running;
-    std::vector<std::vector<time_point>> last_received; ///< by listener and speaker
+    std::vector<std::vector<time_point>> last_received; ///< by receiver and sender
     std::vector<std::vector<bool>> considered_dead;
     std::vector<std::size_t> bytes;
     std::vector<std::size_t> messages;
@@ -35,7 +36,7 @@
     std::size_t size() const { return running.size(); }
     std::size_t domain_of(std::size_t node) const { return domains == 0 ? 0 : node % domains; }
 
-    /// The head of a domain as `by` sees it: the first node of it not held for dead.
+    /// The head of a domain as `by` sees it: its first node not considered dead.
     std::size_t head_of(std::size_t domain, std::size_t by) const
     {
         for (std::size_t node = domain; node < size(); node += domains) {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// A death noticed by a head goes to its members and the other heads; members notice only their head's.
+    /// A head sends each death it detects to its members and the other heads; members watch only their head.
     void detect_deaths(std::size_t node)
     {
         for (std::size_t other = 0; other < size(); ++other) {
@@ -94,7 +95,7 @@
             considered_dead[node][other] = true;
             if (domains > 0 && is_head(node)) {
                 announce_death(node, other);
-                // A new head hears from its members only from now on.
+                // A new head gets its members' heartbeats only from now on.
                 for (std::size_t member = domain_of(node); member < size(); member += domains) {
                     last_received[node][member] = std::max(last_received[node][member], now);
                 }
--- a/tools/slopes/membership_ways.hpp
+++ b/tools/slopes/membership_ways.hpp
@@ -1,4 +1,4 @@
-/// The two plainer ways to know who is alive, as loops over a whole fleet; see docs/design/fleet.md.
+/// Two simpler failure detectors, simulated over a fleet for comparison; see docs/design/fleet.md.
 #ifndef VANILLAGAUGE_TOOLS_SLOPES_MEMBERSHIP_WAYS_HPP
 #define VANILLAGAUGE_TOOLS_SLOPES_MEMBERSHIP_WAYS_HPP
 
@@ -9,21 +9,21 @@
 
 namespace vanillagauge::slopes {
 
-/// What one way costs and how fast it is, at one size.
+/// Cost and detection time of a protocol at one fleet size.
 struct protocol_figures {
     double messages_per_second = 0;     ///< sent by a node, mean
     double bytes_per_second = 0;        ///< sent by a node, mean
     double max_bytes_per_second = 0;    ///< sent by the busiest node
     double processor_us_per_second = 0; ///< of a node
-    milliseconds detected_mean{0};      ///< from a death until all others hold the node for dead
+    milliseconds detected_mean{0};      ///< from a death until all others consider the node dead
     milliseconds detected_max{0};
-    milliseconds key_node_detected{0}; ///< the same for the node whose death hurts most
+    milliseconds key_node_detected{0}; ///< the same for the node whose loss affects most others
 };
 
-/// Every node sends a heartbeat to every other each 500 ms; three missed ones are a death.
+/// Every node sends a heartbeat to every other each 500 ms; three missed in a row mean death.
 protocol_figures direct_heartbeats(std::size_t nodes);
-/// Nodes send heartbeats to the head of their failure domain, the heads to each other, and each tells its
-/// members of every change.
+/// Nodes send heartbeats to the head of their failure domain, the heads to each other, and each
+/// forwards every change to its members.
 protocol_figures domain_tree(std::size_t nodes, std::size_t domains);
 
 } // namespace vanillagauge::slopes
--- a/tools/slopes/membership_weighing.cpp
+++ b/tools/slopes/membership_weighing.cpp
@@ -1,4 +1,4 @@
-/// Weighs three ways to know who is alive, at 8 and 350 nodes, by driving the pure code in this process.
+/// Compares three failure detectors at 8 and 350 nodes, simulating the fleet in this process.
 /// Prints one JSON object.
 
 #include "fleet_simulation.hpp"
@@ -18,7 +18,7 @@
 constexpr std::size_t trials = 5;
 constexpr std::uint64_t config_trials = 20;
 
-/// Restarts at 20 times the mean of a day with 2,300 of them at 350 nodes: they come in bursts.
+/// 20 times the mean of a day with 2,300 restarts at 350 nodes: restarts come in bursts.
 constexpr double restarts_per_node_and_second = 20 * 2300.0 / 350 / 86400;
 
 milliseconds detect(std::size_t nodes, std::size_t domains, std::uint64_t seed, bool gets_no_work_only)
@@ -44,7 +44,7 @@
 
 struct probe_figures {
     slopes::protocol_figures common;
-    milliseconds no_work_mean{0}; ///< until no node shows the victim as alive
+    milliseconds no_work_mean{0}; ///< until no node reports the victim alive
     milliseconds no_work_max{0};
     double compared_bytes_per_second = 0;
 };
@@ -93,7 +93,7 @@
     return found;
 }
 
-/// From a change accepted on one node until every node has pulled it: the median and the longest of the
+/// Time from a change accepted on one node until every node has pulled it: the median and the longest of the
 /// trials.
 std::pair<milliseconds, milliseconds> config_everywhere(std::size_t nodes, std::size_t domains)
 {
