--- a/fuzzing/input_tests.cpp
+++ b/fuzzing/input_tests.cpp
@@ -7,8 +7,8 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-// What strangers send and operators write, damaged in every place. Each reader answers with a value or a
-// typed error; under the sanitizers the same runs show reads out of bounds.
+// Mutated input of clients and operators: each parser must return a value or a typed error. Under the
+// sanitizers the same tests catch reads out of bounds.
 
 namespace vanillagauge {
 namespace {
@@ -20,9 +20,9 @@
   "entry": {"http_listen": "127.0.0.1:0"}
 })";
 
-RC_GTEST_PROP(settings_text, that_is_damaged_is_read_or_refused_by_name, ())
+RC_GTEST_PROP(settings_text, mutated_settings_parse_or_name_the_file, ())
 {
-    const auto parsed = config::parse_settings(fuzzing::damaged(valid_settings), "vm.json");
+    const auto parsed = config::parse_settings(fuzzing::mutated(valid_settings), "vm.json");
     if (ok(parsed)) {
         RC_ASSERT(!value(parsed).vm.empty());
         RC_ASSERT(value(parsed).http_threads >= 2 && value(parsed).http_threads <= 64);
@@ -34,7 +34,7 @@
     }
 }
 
-RC_GTEST_PROP(call_key_text, of_a_pair_names_the_same_pair_again, ())
+RC_GTEST_PROP(call_key_text, formatted_key_parses_to_its_pair, ())
 {
     const claims::claim_pair pair{{"aph-1", *rc::gen::arbitrary<std::uint64_t>()},
                                   {"aph-2", *rc::gen::arbitrary<std::uint64_t>()}};
@@ -46,25 +46,25 @@
     RC_ASSERT(value(parsed).expires_ms == expires);
 }
 
-RC_GTEST_PROP(call_key_text, that_is_damaged_is_a_key_or_refused_as_not_run, ())
+RC_GTEST_PROP(call_key_text, mutated_key_parses_or_fails_as_not_run, ())
 {
     const auto prefix = claims::format_prefix({{"aph-1", 17}, {"aph-2", 18}}, 1700000000000, 99);
-    const auto parsed = claims::parse_key(fuzzing::damaged(prefix + "s1"));
+    const auto parsed = claims::parse_key(fuzzing::mutated(prefix + "s1"));
     if (!ok(parsed)) {
         RC_ASSERT(failure(parsed).code == error_code::invalid_argument);
         RC_ASSERT(failure(parsed).ran == run_state::not_run);
     }
 }
 
-/// A trainer's cursor is the only ledger of its samples: a damaged one that passed would skip or double some.
-RC_GTEST_PROP(cursor_text, that_is_damaged_is_never_taken_for_another_position, ())
+/// A trainer's cursor is the only record of its samples: accepting a damaged one would skip or repeat some.
+RC_GTEST_PROP(cursor_text, mutated_cursor_never_yields_another_position, ())
 {
     samples::cursor position = samples::empty_cursor("reply-tuning", 3, 24);
     for (std::size_t slot = 0; slot < position.taken.size(); ++slot) {
         position.taken[slot] = *rc::gen::arbitrary<bool>();
     }
     const auto opened =
-        samples::decode_cursor(fuzzing::damaged(samples::encode_cursor(position, "secret")), "secret");
+        samples::decode_cursor(fuzzing::mutated(samples::encode_cursor(position, "secret")), "secret");
     if (ok(opened)) {
         RC_ASSERT(value(opened) == position);
     }
@@ -82,8 +82,8 @@
     return bytes;
 }
 
-/// Feeds in pieces as a socket would; the frames are what the pieces cannot change.
-RC_GTEST_PROP(frames, come_out_whole_and_in_order_however_the_bytes_are_cut, ())
+/// A socket may split the bytes anywhere; the frames must not depend on it.
+RC_GTEST_PROP(frames, split_reads_keep_payloads_and_order, ())
 {
     const auto encoding = *rc::gen::element(wire::codec::json, wire::codec::protobuf);
     const auto payloads = *rc::gen::container<std::vector<std::string>>(
@@ -91,29 +91,30 @@
     const auto bytes = stream_of(encoding, payloads);
     wire::frame_reader reader(encoding);
     std::vector<std::string> received;
-    std::size_t place = 0;
-    while (place < bytes.size()) {
+    std::size_t offset = 0;
+    while (offset < bytes.size()) {
         const auto size = *rc::gen::inRange<std::size_t>(1, 8);
-        const auto fed = reader.feed(std::string_view(bytes).substr(place, size),
-                                     [&received](std::string_view whole) { received.emplace_back(whole); });
+        const auto fed =
+            reader.feed(std::string_view(bytes).substr(offset, size),
+                        [&received](std::string_view payload) { received.emplace_back(payload); });
         RC_ASSERT(ok(fed));
-        place += size;
+        offset += size;
     }
     RC_ASSERT(reader.at_boundary());
     RC_ASSERT(received == payloads);
 }
 
-RC_GTEST_PROP(frames, of_a_damaged_stream_stay_within_its_bytes, ())
+RC_GTEST_PROP(frames, mutated_stream_yields_only_its_own_bytes, ())
 {
     const auto encoding = *rc::gen::element(wire::codec::json, wire::codec::protobuf);
-    const auto bytes = fuzzing::damaged(stream_of(encoding, {"one", R"({"a": 1})", "three"}) +
+    const auto bytes = fuzzing::mutated(stream_of(encoding, {"one", R"({"a": 1})", "three"}) +
                                         wire::error_frame(encoding, {error_code::unavailable}));
     wire::frame_reader reader(encoding);
     std::vector<std::string> received;
     const auto fed =
-        reader.feed(bytes, [&received](std::string_view whole) { received.emplace_back(whole); });
-    for (const auto& whole : received) {
-        RC_ASSERT(bytes.find(whole) != std::string::npos);
+        reader.feed(bytes, [&received](std::string_view payload) { received.emplace_back(payload); });
+    for (const auto& payload : received) {
+        RC_ASSERT(bytes.find(payload) != std::string::npos);
     }
     RC_CLASSIFY(!ok(fed));
 }
--- a/standins/target/engine.hpp
+++ b/standins/target/engine.hpp
@@ -1,4 +1,4 @@
-/// A stand-in model engine: streams tokens with version labels, swaps weights, reports load with a lag.
+/// A stand-in model engine: streams tokens with version labels, swaps weights, reports load with a delay.
 #ifndef VANILLAGAUGE_STANDINS_TARGET_ENGINE_HPP
 #define VANILLAGAUGE_STANDINS_TARGET_ENGINE_HPP
 
@@ -19,7 +19,7 @@
 struct engine_options {
     milliseconds chunk_time{20}; ///< time for one chunk at an idle engine
     int chunk_tokens = 8;
-    int capacity = 16;           ///< streams at full speed; more share it
+    int capacity = 16;           ///< concurrent streams at full speed; more share the throughput
     milliseconds load_time{300}; ///< time to load a version
     std::uint64_t version = 1;
     std::uint64_t seed = 1;
@@ -53,7 +53,7 @@
         std::string request_id;
         int sequence = 0;
         int tokens = 0;
-        int wanted = 0;
+        int total_tokens = 0;
         bool cancelled = false;
     };
     using stream_ptr = std::shared_ptr<stream>;
@@ -63,7 +63,7 @@
     std::mutex mutex_;
     std::mt19937_64 random_;
     std::uint64_t version_;
-    std::uint64_t fencing_ = 0;
+    std::uint64_t fencing_token_ = 0;
     std::string role_ = "serve";
     time_point loading_until_{};
     std::map<std::string, stream_ptr> streams_;
@@ -71,13 +71,13 @@
     std::deque<target::v1::CacheEvent> cache_events_;
     std::uint64_t next_cache_event_ = 1;
 
-    /// The same for the same sample on any engine: what follows a '#' in its id names only the stream.
-    int draw_length(const std::string& request_id, int most) const;
-    milliseconds loading_left() const;
-    void step(const stream_ptr& running);
+    /// The same for a sample on every engine: the part of the id after '#' names only the stream.
+    int draw_length(const std::string& request_id, int max_tokens) const;
+    milliseconds remaining_load_time() const;
+    void send_chunk(const stream_ptr& running);
     milliseconds chunk_delay();
-    void note_load();
-    void note_prefix(const std::string& prompt);
+    void record_load();
+    void record_prefix(const std::string& prompt);
 };
 
 } // namespace vanillagauge::standins
--- a/tools/load/benchmark/policy_benchmark.cpp
+++ b/tools/load/benchmark/policy_benchmark.cpp
@@ -13,8 +13,8 @@
     policy::scheduler decisions(1, {});
     std::vector<policy::pool_target> pool;
     pool.reserve(static_cast<std::size_t>(targets));
-    for (std::int64_t place = 0; place < targets; ++place) {
-        pool.push_back({"target-" + std::to_string(place), "domain-" + std::to_string(place % 4), false});
+    for (std::int64_t index = 0; index < targets; ++index) {
+        pool.push_back({"target-" + std::to_string(index), "domain-" + std::to_string(index % 4), false});
     }
     decisions.update(pool, steady::now());
     return decisions;
@@ -31,12 +31,12 @@
     return item;
 }
 
-/// A third of the fleet's places are taken, as on an ordinary day.
+/// A third of the fleet's capacity is in use, a usual load.
 void admit_and_place(benchmark::State& state, bool with_prefix)
 {
     auto decisions = filled(state.range(0));
     std::uint64_t id = 0;
-    for (std::int64_t place = 0; place < state.range(0) * 5; ++place) {
+    for (std::int64_t index = 0; index < state.range(0) * 5; ++index) {
         decisions.submit(request(++id, 0), steady::now());
     }
     for (auto _ : state) {
@@ -50,7 +50,7 @@
     }
 }
 
-/// Every place is taken: the request goes through the line.
+/// The fleet is full: the request passes through the queue.
 void queue_and_place(benchmark::State& state)
 {
     auto decisions = filled(state.range(0));
--- a/tools/load/events.hpp
+++ b/tools/load/events.hpp
@@ -1,4 +1,4 @@
-/// Faults that a load run plays at set times: on stand-ins by their control port, on processes by signal.
+/// Timed faults of a load run: set through the control service of stand-ins, or signals to processes.
 #ifndef VANILLAGAUGE_TOOLS_LOAD_EVENTS_HPP
 #define VANILLAGAUGE_TOOLS_LOAD_EVENTS_HPP
 
@@ -32,7 +32,7 @@
 /// `MS,PID,KILL`; also STOP, CONT and TERM.
 result<timed_event> parse_signal(const std::string& text);
 
-void play(const timed_event& event, node::channel_pool& targets);
+void trigger(const timed_event& event, node::channel_pool& targets);
 
 } // namespace vanillagauge::load
 
--- a/tools/load/report.hpp
+++ b/tools/load/report.hpp
@@ -1,4 +1,4 @@
-/// What callers got in a load run, as JSON and as a table.
+/// Results of a load run as callers saw them, as JSON and as a table.
 #ifndef VANILLAGAUGE_TOOLS_LOAD_REPORT_HPP
 #define VANILLAGAUGE_TOOLS_LOAD_REPORT_HPP
 
@@ -12,15 +12,15 @@
 
 namespace vanillagauge::load {
 
-/// One request's end. `took` counts from the intended start, so a late sender shows.
+/// Outcome of one request. `latency` counts from the intended start, so that a late sender shows.
 struct answer {
-    duration took{};
-    std::string target; ///< that answered, where known
+    duration latency{};
+    std::string target; ///< that answered, if known
     std::string code;   ///< ok, or the error's code
     run_state ran = run_state::ran;
 };
 
-/// Safe for several threads.
+/// Thread-safe.
 class report {
 public:
     void add(const planned_request& request, const answer& got);
@@ -30,12 +30,12 @@
 
 private:
     struct group {
-        std::int64_t asked = 0;
+        std::int64_t requests = 0;
         std::int64_t in_time = 0;
         std::int64_t late = 0;
         std::map<std::string, std::int64_t> refused; ///< by code and run state
-        std::vector<duration> answered;
-        std::vector<duration> turned_away;
+        std::vector<duration> answer_times;
+        std::vector<duration> refusal_times;
     };
 
     mutable std::mutex mutex_;
